--- /dev/null
+++ b/decisions/__init__.py
@@ -0,0 +1,5 @@
+"""decisions: the decisions of a relay that delivers webhooks and other calls to many destinations."""
+
+from decisions.brain import Relay
+
+__all__ = ["Relay"]
--- a/mossfront/brain.py
+++ b/decisions/brain.py
@@ -1,5 +1,5 @@
-"""Every decision of the relay. Its types, events and actions are in ``mossfront/interface.py``, and what it
-remembers in ``mossfront/state.py``.
+"""Every decision of the relay. Its types, events and actions are in ``decisions/interface.py``, and what it
+remembers in ``decisions/state.py``.
 
 The ordinary path is fetches-per-server of the FRNOG 25 BIND9 notes: each endpoint has a quota of calls in
 flight that shrinks while its failure ratio is high and regrows while it is low; a message over quota is held.
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from itertools import islice
 
-from mossfront.interface import (
+from decisions.interface import (
     Action,
     Arrival,
     Ban,
@@ -39,8 +39,8 @@
     Wake,
     Withdrawn,
 )
-from mossfront.lanes import Lane, Ranked
-from mossfront.state import Call, Destination, Endpoint, Guard, Message, Record, Tally
+from decisions.lanes import Lane, Ranked
+from decisions.state import Call, Destination, Endpoint, Guard, Message, Record, Tally
 
 CAP_SHARE, SICK_SHARE = 0.75, 0.5  # of slots: calls to one healthy, one failing or slow destination
 FLOOR_SHARE = 0.02  # of the starting quota: what a server that never answers keeps (the notes' 2%)
--- a/mossfront/drill.py
+++ b/decisions/drill.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator
 from typing import IO, TypeVar
 
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
 
 Fields = dict[str, str]
 T = TypeVar("T")
--- a/mossfront/state.py
+++ b/decisions/state.py
@@ -1,11 +1,11 @@
-"""What a relay remembers: plain records that ``mossfront/brain.py`` fills and judges; it decides nothing."""
+"""What a relay remembers: plain records that ``decisions/brain.py`` fills and judges; it decides nothing."""
 
 from __future__ import annotations
 
 import math
 
-from mossfront.interface import Arrival, Entry, Kind, Listing, MessageClass
-from mossfront.lanes import Lane
+from decisions.interface import Arrival, Entry, Kind, Listing, MessageClass
+from decisions.lanes import Lane
 
 LEAST_US = 1_000_000  # us of events at least, before their number tells a rate
 
--- a/fleetlab/scale/held_load.py
+++ b/fleetlab/scale/held_load.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from random import Random
 
+from decisions.interface import Effect, Entry, Listing, MessageClass, Settings
 from fleetlab.scale.endpoints import ZONES
-from mallowlug.journal import reserve
-from mallowlug.relay import Handed, Held
-from mossfront.interface import Effect, Entry, Listing, MessageClass, Settings
+from relay.journal import reserve
+from relay.relay import Handed, Held
 
 DESTINATIONS = 31_000
 DOWN = 682  # of them, 2.2%
--- a/fleetlab/scale/hollow_module.py
+++ b/fleetlab/scale/hollow_module.py
@@ -9,11 +9,8 @@
 from types import FrameType
 from typing import Any
 
-from fleetlab.scale.held_load import DESTINATIONS, DOWN, START_US, entries, host_of, settings
-from fleetlab.scale.process import processor_seconds
-from mallowlug.relay import Held
-from mossfront.brain import Relay
-from mossfront.interface import (
+from decisions.brain import Relay
+from decisions.interface import (
     Action,
     Arrival,
     Event,
@@ -27,6 +24,9 @@
     Verdict,
     Withdrawn,
 )
+from fleetlab.scale.held_load import DESTINATIONS, DOWN, START_US, entries, host_of, settings
+from fleetlab.scale.process import processor_seconds
+from relay.relay import Held
 
 STEP_US = 20_000  # between steps while nothing is looked at
 SERVED_US, REFUSED_US = 20_000, 1_000  # until a call is answered, or its connection is refused
--- a/fleetlab/scale/intake.py
+++ b/fleetlab/scale/intake.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from decisions.brain import Relay
+from decisions.interface import Action, Event
 from fleetlab.scale.child import Child
 from fleetlab.scale.directory import Counts, Hold, Tell, Up, directory_process
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.turns import TurnSelector
-from mallowlug.config import Config, load
-from mallowlug.journal import Journal
-from mallowlug.relay import Driver
-from mossfront.brain import Relay
-from mossfront.interface import Action, Event
+from relay.config import Config, load
+from relay.journal import Journal
+from relay.relay import Driver
 from standins.scripted import Client, World
 from tools.cost.reading import taken
 
--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from mallowlug.cost import memory_of
+from relay.cost import memory_of
 
 OWN_FOLDER = Path("/proc/self")
 
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -13,11 +13,11 @@
 from fleetlab.scale.held_load import DOWN, settings
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import ScaleError
-from mallowlug.config import Config
-from mallowlug.cost import memory_of
-from mallowlug.host_list import HostList
-from mallowlug.journal import Journal
-from mallowlug.relay import Driver
+from relay.config import Config
+from relay.cost import memory_of
+from relay.host_list import HostList
+from relay.journal import Journal
+from relay.relay import Driver
 
 NOWHERE = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
 ROOM = 1_000_000  # messages more than recovered, which a relay may hold
--- a/fleetlab/scale/subjects/destinations.py
+++ b/fleetlab/scale/subjects/destinations.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass, fields
 from random import Random
 
+from decisions.brain import Relay
+from decisions.interface import Settings
 from fleetlab.scale.looks import CountedDict
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import Reading, Source
@@ -27,8 +29,6 @@
     failed_answer,
     served_answer,
 )
-from mossfront.brain import Relay
-from mossfront.interface import Settings
 
 EVENTS_PER_S = 350.0
 DOWN_SHARE = 0.022
--- a/fleetlab/scale/subjects/fleet_outage.py
+++ b/fleetlab/scale/subjects/fleet_outage.py
@@ -10,6 +10,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from decisions.brain import Relay
+from decisions.interface import Settings, Verdict
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.traffic import (
@@ -25,8 +27,6 @@
     failed_answer,
     served_answer,
 )
-from mossfront.brain import Relay
-from mossfront.interface import Settings, Verdict
 
 FAULTS = (
     Fault.CONNECT_FAILS,
--- a/fleetlab/scale/subjects/real_watchers.py
+++ b/fleetlab/scale/subjects/real_watchers.py
@@ -43,7 +43,7 @@
         folder.mkdir()
         world = RelayWorld(folder, directory_port)
         world.state.mkdir()
-        command = [sys.executable, "-m", "mallowlug"]
+        command = [sys.executable, "-m", "relay"]
         self._process = subprocess.Popen(command, cwd=ROOT, env=world.environment(), stderr=log)
 
     def __enter__(self) -> RelayProcess:
--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -14,10 +14,8 @@
 from random import Random
 from typing import Protocol
 
-from fleetlab.scale.endpoints import ZONES
-from fleetlab.scale.process import processor_seconds
-from mossfront.brain import Relay
-from mossfront.interface import (
+from decisions.brain import Relay
+from decisions.interface import (
     Action,
     Arrival,
     Cancel,
@@ -36,6 +34,8 @@
     Verdict,
     Wake,
 )
+from fleetlab.scale.endpoints import ZONES
+from fleetlab.scale.process import processor_seconds
 
 SECOND_US = 1_000_000
 CONNECT_FAILED_US, REFUSED_US = 20_000, 30_000  # us that a failed connection and a refusal take
--- a/mallowlug/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""mallowlug: the decision module of ``mossfront`` as one real relay on real sockets."""
--- a/mallowlug/__main__.py
+++ b/relay/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit code of one relay: ``python -m mallowlug``."""
+"""Start, signals and exit code of one relay: ``python -m relay``."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from dataclasses import asdict
 from itertools import islice
 
-from mallowlug import config
-from mallowlug.admin import FORMER_S, Admin, Desk
-from mallowlug.clients import Server
-from mallowlug.cost import Counted, Ledger
-from mallowlug.handover import Estate, Inheritance, Lock, Offer, succeed
-from mallowlug.journal import Journal
-from mallowlug.listen import Listener, bound, freed, passed
-from mallowlug.relay import Counts, Driver, Heard, layout
+from relay import config
+from relay.admin import FORMER_S, Admin, Desk
+from relay.clients import Server
+from relay.cost import Counted, Ledger
+from relay.handover import Estate, Inheritance, Lock, Offer, succeed
+from relay.journal import Journal
+from relay.listen import Listener, bound, freed, passed
+from relay.relay import Counts, Driver, Heard, layout
 
-LOG = logging.getLogger("mallowlug")
+LOG = logging.getLogger("relay")
 SERVE_S = 2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
 LAST_S = 3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
 TURNS = 5  # of the loop, in which connections that are accepted come up and what they brought is answered
--- a/mallowlug/answers.py
+++ b/relay/answers.py
@@ -6,9 +6,9 @@
 
 import h11
 
-from mallowlug.calls import Call, PartOutcome
-from mallowlug.http import SHORT
-from mossfront.interface import Verdict
+from decisions.interface import Verdict
+from relay.calls import Call, PartOutcome
+from relay.http import SHORT
 
 LOG = logging.getLogger(__name__)
 MOST_ANSWER = 64 * 1024  # bytes of an answer's body
--- a/mallowlug/calls.py
+++ b/relay/calls.py
@@ -7,8 +7,8 @@
 import time
 from dataclasses import dataclass, field
 
-from mallowlug.http import Connection, Headers
-from mossfront.interface import Verdict
+from decisions.interface import Verdict
+from relay.http import Connection, Headers
 
 ONE, MANY = "/hook", "/hook/batch"
 
--- a/mallowlug/clients.py
+++ b/relay/clients.py
@@ -12,10 +12,10 @@
 from contextlib import suppress
 from typing import Any
 
-from mallowlug import resp
-from mallowlug.listen import Listener
-from mallowlug.reasons import Parting, Refusal
-from mallowlug.relay import Driver, Handed
+from relay import resp
+from relay.listen import Listener
+from relay.reasons import Parting, Refusal
+from relay.relay import Driver, Handed
 
 LOG = logging.getLogger(__name__)
 MOST_BODY = 64 * 1024
--- a/mallowlug/config.py
+++ b/relay/config.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from mallowlug.host_list import HostList, read_list
-from mallowlug.http import Address
-from mossfront.drill import settings_of, whole
-from mossfront.interface import Settings
+from decisions.drill import settings_of, whole
+from decisions.interface import Settings
+from relay.host_list import HostList, read_list
+from relay.http import Address
 
 LEAST_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
 LEAST_SOCKETS = 4  # half are for clients, a quarter for idle connections to endpoints
--- a/mallowlug/discovery.py
+++ b/relay/discovery.py
@@ -11,8 +11,8 @@
 
 import h11
 
-from mallowlug.host_list import HostList, ListReader, read_list
-from mallowlug.http import FAULTS, Address, Connection
+from relay.host_list import HostList, ListReader, read_list
+from relay.http import FAULTS, Address, Connection
 
 LOG = logging.getLogger(__name__)
 HOSTS, NOTICES = "/discovery/hosts", "/v1/notices"
--- a/mallowlug/host_list.py
+++ b/relay/host_list.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from mallowlug.http import Address
-from mossfront.interface import Entry, Listing
+from decisions.interface import Entry, Listing
+from relay.http import Address
 
 LOG = logging.getLogger(__name__)
 STATES = {"SERVING": Listing.READY, "DRAINING": Listing.DRAINING, "DELETED": Listing.GONE}
--- a/mallowlug/hosts.py
+++ b/relay/hosts.py
@@ -17,7 +17,8 @@
 from itertools import islice
 from typing import Any
 
-from mallowlug.answers import (
+from decisions.interface import Kind, Listing, Verdict
+from relay.answers import (
     DELIVERED,
     ENDS,
     MOST_ANSWER,
@@ -28,11 +29,10 @@
     verdict_of,
     wait_of,
 )
-from mallowlug.calls import Call, Part, PartOutcome, request_of
-from mallowlug.host_list import HostList, Listed
-from mallowlug.http import FAULTS, REST_S, SHORT, Address, Connection, own_port
-from mallowlug.idle_connections import IdleConnections
-from mossfront.interface import Kind, Listing, Verdict
+from relay.calls import Call, Part, PartOutcome, request_of
+from relay.host_list import HostList, Listed
+from relay.http import FAULTS, REST_S, SHORT, Address, Connection, own_port
+from relay.idle_connections import IdleConnections
 
 LOG = logging.getLogger(__name__)
 MOST_EVER = 4096  # hosts that are remembered, so that operators may name one that left
--- a/mallowlug/idle_connections.py
+++ b/relay/idle_connections.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from functools import partial
 
-from mallowlug.http import Connection
+from relay.http import Connection
 
 IDLE_SHARE = 0.9  # of the hosts' keep-alive: an older connection may be ended while a request is under way
 
--- a/mallowlug/listen.py
+++ b/relay/listen.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from mallowlug.http import SHORT, Address
+from relay.http import SHORT, Address
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 1024
--- a/mallowlug/relay.py
+++ b/relay/relay.py
@@ -19,19 +19,19 @@
 from itertools import islice
 from typing import Any
 
-from mallowlug import calls, host_list, hosts
-from mallowlug.calls import Call, Part, PartOutcome
-from mallowlug.config import Config
-from mallowlug.discovery import PIECE, Notice, Notices, Watch, most_line_bytes
-from mallowlug.host_list import HostList, changes_of, pieces
-from mallowlug.hosts import Hosts, Left
-from mallowlug.http import Address
-from mallowlug.journal import Attempt, Journal, JournalFullError, Recovered
-from mallowlug.reasons import Refusal
-from mossfront import Relay as Module
-from mossfront import interface as api
-from mossfront import lanes, state
-from mossfront.interface import Settings
+from decisions import Relay as Module
+from decisions import interface as api
+from decisions import lanes, state
+from decisions.interface import Settings
+from relay import calls, host_list, hosts
+from relay.calls import Call, Part, PartOutcome
+from relay.config import Config
+from relay.discovery import PIECE, Notice, Notices, Watch, most_line_bytes
+from relay.host_list import HostList, changes_of, pieces
+from relay.hosts import Hosts, Left
+from relay.http import Address
+from relay.journal import Attempt, Journal, JournalFullError, Recovered
+from relay.reasons import Refusal
 
 LOG = logging.getLogger(__name__)
 STATUS_S = 5.0  # s between log lines on connections
--- a/standins/scripted.py
+++ b/standins/scripted.py
@@ -395,7 +395,7 @@
         """Start a process of the relay, beside another where there is one."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *("-m", "mallowlug"),
+            *("-m", "relay"),
             cwd=ROOT,
             env=self.environment(),
             pass_fds=[] if self.passed is None else [self.passed.fileno()],
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of mossfront."""
+"""Tests of starlingglade."""
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from mossfront import Relay
-from mossfront import interface as api
+from decisions import Relay
+from decisions import interface as api
 
 
 @dataclass
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
 from tests.support import KEYED, SAFE, SECOND, settings
 
 DOWN_US, BACK_US, WARM_US, FALL_US = 10 * SECOND, 18 * SECOND, 10 * SECOND, 2 * SECOND
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from decisions.brain import Relay
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.held_load import BODY_BYTES, DOWN, SPREAD, START_US, backlog, message, reserved_bytes
 from fleetlab.scale.hollow_module import STEP_US, HollowModule, lines_run
@@ -24,9 +25,8 @@
     journal_readings,
 )
 from fleetlab.scale.subjects.replay_process import measure as measure_process
-from mallowlug.journal import Journal, JournalFullError
-from mallowlug.relay import Held
-from mossfront.brain import Relay
+from relay.journal import Journal, JournalFullError
+from relay.relay import Held
 
 SIZES = (100, 200, 400, 800)
 MODULE_SIZES = (1_000, 2_000, 4_000, 8_000)
--- a/tests/scale/test_destinations.py
+++ b/tests/scale/test_destinations.py
@@ -7,13 +7,13 @@
 
 import pytest
 
+from decisions.brain import Relay
+from decisions.interface import Action, Event
+from decisions.state import Destination
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.looks import CountedDict
 from fleetlab.scale.subjects.destinations import Play, Result, count_readings, run
 from fleetlab.scale.traffic import Fault
-from mossfront.brain import Relay
-from mossfront.interface import Action, Event
-from mossfront.state import Destination
 
 PLAY = Play(seconds=6, may_cancel=False)
 SIZES = (50, 400)
--- a/tests/scale/test_fleet_outage.py
+++ b/tests/scale/test_fleet_outage.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from decisions.brain import Relay
 from fleetlab.scale.records import Source
 from fleetlab.scale.subjects import fleet_outage
 from fleetlab.scale.subjects.fleet_outage import DEMAND_PER_S
-from mossfront.brain import Relay
 
 SIZES = (5, 60)
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from mossfront import interface as api
+from decisions import interface as api
 
 SECOND = 1_000_000
 SAFE = api.MessageClass(
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -4,10 +4,10 @@
 
 import heapq
 
-from mallowlug import hosts
-from mallowlug.host_list import HostList, Listed
-from mossfront import interface as api
-from mossfront.brain import MOST_GONE, Relay
+from decisions import interface as api
+from decisions.brain import MOST_GONE, Relay
+from relay import hosts
+from relay.host_list import HostList, Listed
 from tests.support import SAFE, SECOND, TURN, arrival, entry, roster, sends, settings
 from tests.test_hosts import Calls
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from mallowlug import __main__ as relay_main
-from mallowlug import clients, resp
-from mallowlug.relay import Driver
+from relay import __main__ as relay_main
+from relay import clients, resp
+from relay.relay import Driver
 from standins.scripted import BOUND_S, Client, World, enqueue, packed, silent, soon
 from tests.test_listen import open_now
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from mallowlug import cost
-from mallowlug.cost import Counted, Ledger, Mark, Used, figures
+from relay import cost
+from relay.cost import Counted, Ledger, Mark, Used, figures
 from standins.scripted import World, silent, soon
 
 COUNTED = Counted(ended=10, module_us=300, journal_bytes=2_000, journal_writes=30, descriptors={"clients": 4})
--- a/tests/test_cost_tool.py
+++ b/tests/test_cost_tool.py
@@ -15,7 +15,7 @@
 from tools.cost.reading import CostError, calls_of, status_of, taken
 from tools.cost.scenarios import SCENARIOS, ready
 
-HERE = Checkout("here", ROOT, f"exec {sys.executable} -m mallowlug")
+HERE = Checkout("here", ROOT, f"exec {sys.executable} -m relay")
 STRACE = """% time     seconds  usecs/call     calls syscall
 ------ ----------- ----------- --------- ----------------
  60.10    0.003000           3      1000 recvfrom
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,11 +9,11 @@
 import pytest
 import pytest_asyncio
 
-from mallowlug import config
-from mallowlug.calls import PartOutcome
-from mallowlug.journal import Journal
-from mallowlug.relay import Driver, Handed
-from mossfront.interface import Verdict
+from decisions.interface import Verdict
+from relay import config
+from relay.calls import PartOutcome
+from relay.journal import Journal
+from relay.relay import Driver, Handed
 from standins.scripted import Request, World, delivered, silent
 from tests.test_hosts import Calls, serving
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -5,8 +5,8 @@
 import itertools
 from collections.abc import Callable
 
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 
--- a/tests/test_former_life.py
+++ b/tests/test_former_life.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
 from tests.support import SECOND, TURN, UNSAFE, ZONED, ended, entry, roster, sends, settings
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from mossfront import interface as api
-from mossfront.brain import Relay
-from mossfront.state import Destination, Endpoint, Guard
+from decisions import interface as api
+from decisions.brain import Relay
+from decisions.state import Destination, Endpoint, Guard
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.test_failures import Feed, drive, steady
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from mallowlug import handover
+from relay import handover
 from standins.scripted import Client, World, delivered, enqueue, packed, silent, soon
 
 
--- a/tests/test_host_list.py
+++ b/tests/test_host_list.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowlug.discovery import LineBuffer, most_line_bytes
-from mallowlug.host_list import HostList, Listed, ListReader, changes_of, pieces, read_list
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
+from relay.discovery import LineBuffer, most_line_bytes
+from relay.host_list import HostList, Listed, ListReader, changes_of, pieces, read_list
 from tests.support import entry, settings
 from tests.test_hosts import Calls
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -15,12 +15,12 @@
 import h11
 import pytest
 
-from mallowlug.answers import report_of, verdict_of, wait_of
-from mallowlug.calls import Call, Part, PartOutcome
-from mallowlug.host_list import HostList, Listed
-from mallowlug.hosts import Hosts, Left
-from mallowlug.http import Connection
-from mossfront.interface import Entry, Kind, Listing, Verdict
+from decisions.interface import Entry, Kind, Listing, Verdict
+from relay.answers import report_of, verdict_of, wait_of
+from relay.calls import Call, Part, PartOutcome
+from relay.host_list import HostList, Listed
+from relay.hosts import Hosts, Left
+from relay.http import Connection
 from standins.scripted import HttpServer, Request, delivered, silent, soon
 from tests.sockets import full_backlog
 
@@ -623,7 +623,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """With the port by which the host's records name its connection: else nothing tells who held it."""
-    caplog.set_level("INFO", "mallowlug.hosts")
+    caplog.set_level("INFO", "relay.hosts")
     host = await serving(silent)
     calls = Calls(host.port)
     call = calls.send("m1")
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -14,10 +14,10 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from mossfront import interface as api
-from mossfront.brain import RISKS, Relay
-from mossfront.lanes import Lane, Ranked
-from mossfront.state import Call, Destination, Endpoint, Message
+from decisions import interface as api
+from decisions.brain import RISKS, Relay
+from decisions.lanes import Lane, Ranked
+from decisions.state import Call, Destination, Endpoint, Message
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
 
 HALVED = replace(SAFE, name="halved", late_worth=0.25, aim_us=SECOND, deadline_us=8 * SECOND)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from mossfront import interface as api
-from mossfront.brain import Relay
-from mossfront.state import Destination, Endpoint
+from decisions import interface as api
+from decisions.brain import Relay
+from decisions.state import Destination, Endpoint
 from tests.support import SAFE, arrival, entry, roster, sends, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-BRAIN = (ROOT / "mossfront" / "brain.py").read_text(encoding="utf-8")
+BRAIN = (ROOT / "decisions" / "brain.py").read_text(encoding="utf-8")
 
 
 def test_the_module_can_be_read_whole() -> None:
@@ -21,13 +21,14 @@
 
 
 def test_no_line_is_too_wide() -> None:
-    for path in sorted([*ROOT.glob("m*/*.py"), *ROOT.glob("t*/**/*.py")]):
+    patterns = ("decisions/*.py", "membership/*.py", "relay/*.py", "t*/**/*.py")
+    for path in sorted(path for pattern in patterns for path in ROOT.glob(pattern)):
         for line in path.read_text(encoding="utf-8").splitlines():
             assert len(line) <= 110, f"{path.name}: {line}"
 
 
 def test_the_interface_is_named_at_the_modules_head() -> None:
-    assert "mossfront/interface.py" in BRAIN.splitlines()[0] + BRAIN.splitlines()[1]
+    assert "decisions/interface.py" in BRAIN.splitlines()[0] + BRAIN.splitlines()[1]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -15,10 +15,10 @@
 
 import pytest
 
-from mallowlug import listen
-from mallowlug.http import Connection
-from mallowlug.listen import Listener
-from mossfront.interface import Verdict
+from decisions.interface import Verdict
+from relay import listen
+from relay.http import Connection
+from relay.listen import Listener
 from standins.scripted import World, enqueue, packed, soon
 from tests.test_hosts import Calls, serving
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowlug import clients, discovery
+from relay import clients, discovery
 from standins.scripted import Request, World, delivered, enqueue, packed, silent, soon
 
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from mallowlug.resp import ProtocolError, least_size, request_at
+from relay.resp import ProtocolError, least_size, request_at
 from standins.scripted import packed
 
 MOST = 1000
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from mallowlug import config
-from mallowlug.__main__ import serve
-from mallowlug.journal import Journal
-from mossfront.brain import Relay as Module
+from decisions.brain import Relay as Module
+from relay import config
+from relay.__main__ import serve
+from relay.journal import Journal
 from standins.scripted import ROOT, World, delivered, silent, soon
 
 
@@ -191,7 +191,7 @@
     del config[missing]
     path.write_text(json.dumps(config), encoding="utf-8")
     world.process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "mallowlug", cwd=ROOT, env=environment
+        sys.executable, "-m", "relay", cwd=ROOT, env=environment
     )
     world.processes.append(world.process)
     if missing == "known":
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mossfront import interface as api
+from decisions import interface as api
 from tests.checker import Checker
 from tests.support import (
     KEYED,
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from mossfront import interface as api
+from decisions import interface as api
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from mallowlug.host_list import HostList, Listed
-from mallowlug.journal import Journal
-from mossfront import interface as api
-from mossfront.brain import MOST_GONE, Relay
+from decisions import interface as api
+from decisions.brain import MOST_GONE, Relay
+from relay.host_list import HostList, Listed
+from relay.journal import Journal
 from standins.scripted import World, soon
 from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
 from tests.test_handover import upgraded
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -28,8 +28,8 @@
 
 def test_a_relay_loads_neither_tls_nor_anything_of_tests() -> None:
     """OpenSSL alone took 5.5 MB of the 26 that a relay of 32 MB had at its start."""
-    loaded = set(said("import sys, mallowlug.__main__; print(*sys.modules)", ROOT).split())
-    assert "mossfront.brain" in loaded
+    loaded = set(said("import sys, relay.__main__; print(*sys.modules)", ROOT).split())
+    assert "decisions.brain" in loaded
     assert loaded.isdisjoint(UNWANTED)
 
 
@@ -38,17 +38,17 @@
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["build"]
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
-    for package in ("mallowlug", "mossfront"):
+    for package in ("relay", "decisions"):
         (tmp_path / package).mkdir()
         (tmp_path / package / "__init__.py").write_text("WORD = 'old'\n")
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True)
-    compiled = list(tmp_path.glob("m*/__pycache__/*.pyc"))
+    compiled = list(tmp_path.glob("*/__pycache__/*.pyc"))
     assert len(compiled) == 2
-    source = tmp_path / "mallowlug" / "__init__.py"
+    source = tmp_path / "relay" / "__init__.py"
     times = source.stat()
     source.write_text("WORD = 'new'\n")
     os.utime(source, ns=(times.st_atime_ns, times.st_mtime_ns))
-    assert said("import mallowlug; print(mallowlug.WORD)", tmp_path).strip() == "new"
+    assert said("import relay; print(relay.WORD)", tmp_path).strip() == "new"
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
         place = place[int(key) if isinstance(place, list) else key]
     place[last] = value
     (tmp_path / "config.json").write_text(json.dumps(config))
-    command = [sys.executable, "-m", "mallowlug"]
+    command = [sys.executable, "-m", "relay"]
     ended = subprocess.run(
         command, cwd=ROOT, env=told, capture_output=True, text=True, check=False, timeout=30
     )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from mallowlug import discovery
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
+from relay import discovery
 from standins.scripted import Request, World
 from tests.support import SECOND, entry, roster, settings
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from mossfront import interface as api
-from mossfront.brain import Relay
+from decisions import interface as api
+from decisions.brain import Relay
 from standins.scripted import Request, World
 from tests.sockets import full_backlog
 from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
--- a/tools/cost/scenarios.py
+++ b/tools/cost/scenarios.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from functools import partial
 
-from mallowlug.journal import Journal, JournalFullError
+from relay.journal import Journal, JournalFullError
 from standins.scripted import Request, packed, silent
 from tools.cost.play import Play, Scenario
 from tools.cost.reading import taken
