--- a/decisions/brain.py
+++ b/decisions/engine.py
@@ -39,7 +39,7 @@
     Wake,
     Withdrawn,
 )
-from decisions.lanes import Lane, Ranked
+from decisions.ranked_queue import Lane, Ranked
 from decisions.state import Call, Destination, Endpoint, Guard, Message, Record, Tally
 
 CAP_SHARE, SICK_SHARE = 0.75, 0.5  # of slots: calls to one healthy, one failing or slow destination
--- a/decisions/lanes.py
+++ b/decisions/ranked_queue.py
@@ -3,7 +3,7 @@
 Messages of one class, worth and number of attempts differ in their deadlines alone. What one of them scores
 at a moment rises or falls with its deadline between a few deadlines at which the formula changes. So a sorted
 list needs a look at both ends of each such stretch, however many messages there are. The formula is the
-business of ``decisions/brain.py``.
+business of ``decisions/engine.py``.
 """
 
 from __future__ import annotations
--- a/decisions/drill.py
+++ b/decisions/simulator_adapter.py
@@ -10,7 +10,7 @@
 from typing import IO, TypeVar
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 
 Fields = dict[str, str]
 T = TypeVar("T")
--- a/decisions/state.py
+++ b/decisions/state.py
@@ -1,11 +1,11 @@
-"""What a relay remembers: plain records that ``decisions/brain.py`` fills and judges; it decides nothing."""
+"""What a relay remembers: plain records that ``decisions/engine.py`` fills and judges; it decides nothing."""
 
 from __future__ import annotations
 
 import math
 
 from decisions.interface import Arrival, Entry, Kind, Listing, MessageClass
-from decisions.lanes import Lane
+from decisions.ranked_queue import Lane
 
 LEAST_US = 1_000_000  # us of events at least, before their number tells a rate
 
--- a/fleetlab/scale/held_load.py
+++ b/fleetlab/scale/held_load.py
@@ -8,8 +8,8 @@
 
 from decisions.interface import Effect, Entry, Listing, MessageClass, Settings
 from fleetlab.scale.endpoints import ZONES
+from relay.driver import Handed, Held
 from relay.journal import reserve
-from relay.relay import Handed, Held
 
 DESTINATIONS = 31_000
 DOWN = 682  # of them, 2.2%
--- a/fleetlab/scale/hollow_module.py
+++ b/fleetlab/scale/hollow_module.py
@@ -9,7 +9,7 @@
 from types import FrameType
 from typing import Any
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import (
     Action,
     Arrival,
@@ -26,7 +26,7 @@
 )
 from fleetlab.scale.held_load import DESTINATIONS, DOWN, START_US, entries, host_of, settings
 from fleetlab.scale.process import processor_seconds
-from relay.relay import Held
+from relay.driver import Held
 
 STEP_US = 20_000  # between steps while nothing is looked at
 SERVED_US, REFUSED_US = 20_000, 1_000  # until a call is answered, or its connection is refused
--- a/fleetlab/scale/intake.py
+++ b/fleetlab/scale/intake.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Action, Event
 from fleetlab.scale.child import Child
 from fleetlab.scale.directory import Counts, Hold, Tell, Up, directory_process
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.turns import TurnSelector
 from relay.config import Config, load
+from relay.driver import Driver
 from relay.journal import Journal
-from relay.relay import Driver
 from standins.scripted import Client, World
 from tools.cost.reading import taken
 
--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from relay.cost import memory_of
+from relay.resource_usage import memory_of
 
 OWN_FOLDER = Path("/proc/self")
 
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -14,10 +14,10 @@
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import ScaleError
 from relay.config import Config
-from relay.cost import memory_of
-from relay.host_list import HostList
+from relay.driver import Driver
+from relay.endpoint_list import HostList
 from relay.journal import Journal
-from relay.relay import Driver
+from relay.resource_usage import memory_of
 
 NOWHERE = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
 ROOM = 1_000_000  # messages more than recovered, which a relay may hold
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -28,8 +28,8 @@
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.replay import replayed
 from fleetlab.scale.subject import Subject
+from relay.driver import Held
 from relay.journal import BLOCK, Attempt, Journal
-from relay.relay import Held
 
 BYTES_PER_MESSAGE = 6_000  # upper estimate of memory: this process and the one that replays
 BYTES_OF_LIST = 300_000_000  # the same for the module's 31,000 destinations
--- a/fleetlab/scale/subjects/destinations.py
+++ b/fleetlab/scale/subjects/destinations.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, fields
 from random import Random
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Settings
 from fleetlab.scale.looks import CountedDict
 from fleetlab.scale.process import resident_bytes
--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -5,7 +5,7 @@
 import json
 from random import Random
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Effect, MessageClass, Roster, RosterKind, Settings
 from fleetlab.scale import endpoints
 from fleetlab.scale.intake import GROUP, Intake, ProcessIntake, driver_intake, process_intake
@@ -13,7 +13,7 @@
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
 from relay.discovery import most_line_bytes
-from relay.host_list import read_list
+from relay.endpoint_list import read_list
 
 
 def settings() -> Settings:
--- a/fleetlab/scale/subjects/fleet_outage.py
+++ b/fleetlab/scale/subjects/fleet_outage.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Settings, Verdict
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -12,9 +12,9 @@
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.backlog import ample_bytes, disk_bytes, fill
-from relay.cost import memory_of
+from relay.driver import BODIES_SHARE
 from relay.journal import Journal
-from relay.relay import BODIES_SHARE
+from relay.resource_usage import memory_of
 from standins.scripted import Client, World, settings_json, silent
 
 ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Protocol
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import (
     Action,
     Arrival,
--- a/fleetlab/scale/watching.py
+++ b/fleetlab/scale/watching.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from decisions.brain import ASK_US
+from decisions.engine import ASK_US
 from fleetlab.scale.child import Child, carry_out
 from fleetlab.scale.endpoints import RELAY_MEMORY_BYTES
 from relay.discovery import Watch, most_line_bytes
-from relay.host_list import HostList
+from relay.endpoint_list import HostList
 from relay.http import Address
 
 ASK_S = ASK_US / 1e6  # s before a broken watch is asked for again: the module's first gap, without its draw
--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -22,11 +22,11 @@
 from relay import config
 from relay.admin import FORMER_S, Admin, Desk
 from relay.clients import Server
-from relay.cost import Counted, Ledger
+from relay.driver import Counts, Driver, Heard, layout
 from relay.handover import Estate, Inheritance, Lock, Offer, succeed
 from relay.journal import Journal
-from relay.listen import Listener, bound, freed, passed
-from relay.relay import Counts, Driver, Heard, layout
+from relay.listeners import Listener, bound, freed, passed
+from relay.resource_usage import Counted, Ledger
 
 LOG = logging.getLogger("relay")
 SERVE_S = 2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
--- a/relay/admin.py
+++ b/relay/admin.py
@@ -16,10 +16,10 @@
 
 import h11
 
+from relay.driver import ENDS, Counts, Driver, Figures
 from relay.http import MOST_HEAD
 from relay.journal import JournalFullError
-from relay.listen import Listener
-from relay.relay import ENDS, Counts, Driver, Figures
+from relay.listeners import Listener
 
 LOG = logging.getLogger(__name__)
 PATIENCE_S = 5.0  # s for a whole call
--- a/relay/clients.py
+++ b/relay/clients.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from relay import resp
-from relay.listen import Listener
+from relay.driver import Driver, Handed
+from relay.listeners import Listener
 from relay.reasons import Parting, Refusal
-from relay.relay import Driver, Handed
 
 LOG = logging.getLogger(__name__)
 MOST_BODY = 64 * 1024
--- a/relay/config.py
+++ b/relay/config.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from decisions.drill import settings_of, whole
 from decisions.interface import Settings
-from relay.host_list import HostList, read_list
+from decisions.simulator_adapter import settings_of, whole
+from relay.endpoint_list import HostList, read_list
 from relay.http import Address
 
 LEAST_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
--- a/relay/discovery.py
+++ b/relay/discovery.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from relay.host_list import HostList, ListReader, read_list
+from relay.endpoint_list import HostList, ListReader, read_list
 from relay.http import FAULTS, Address, Connection
 
 LOG = logging.getLogger(__name__)
--- a/relay/relay.py
+++ b/relay/driver.py
@@ -21,14 +21,14 @@
 
 from decisions import Relay as Module
 from decisions import interface as api
-from decisions import lanes, state
+from decisions import ranked_queue, state
 from decisions.interface import Settings
-from relay import calls, host_list, hosts
+from relay import calls, endpoint_calls, endpoint_list
 from relay.calls import Call, Part, PartOutcome
 from relay.config import Config
 from relay.discovery import PIECE, Notice, Notices, Watch, most_line_bytes
-from relay.host_list import HostList, changes_of, pieces
-from relay.hosts import Hosts, Left
+from relay.endpoint_calls import Hosts, Left
+from relay.endpoint_list import HostList, changes_of, pieces
 from relay.http import Address
 from relay.journal import Attempt, Journal, JournalFullError, Recovered
 from relay.reasons import Refusal
@@ -106,7 +106,7 @@
     """
     texts = [
         inspect.getsource(part)
-        for part in (state, lanes, api, host_list, calls, hosts, Module.__init__, Memory)
+        for part in (state, ranked_queue, api, endpoint_list, calls, endpoint_calls, Module.__init__, Memory)
     ]
     text = "\0".join([*texts, repr(settings), sys.version]).encode()
     # Against mistakes, not against malice: both are this user's. ``hashlib`` would load all of OpenSSL.
--- a/relay/hosts.py
+++ b/relay/endpoint_calls.py
@@ -30,7 +30,7 @@
     wait_of,
 )
 from relay.calls import Call, Part, PartOutcome, request_of
-from relay.host_list import HostList, Listed
+from relay.endpoint_list import HostList, Listed
 from relay.http import FAULTS, REST_S, SHORT, Address, Connection, own_port
 from relay.idle_connections import IdleConnections
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from tests.support import KEYED, SAFE, SECOND, settings
 
 DOWN_US, BACK_US, WARM_US, FALL_US = 10 * SECOND, 18 * SECOND, 10 * SECOND, 2 * SECOND
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.held_load import BODY_BYTES, DOWN, SPREAD, START_US, backlog, message, reserved_bytes
 from fleetlab.scale.hollow_module import STEP_US, HollowModule, lines_run
@@ -25,8 +25,8 @@
     journal_readings,
 )
 from fleetlab.scale.subjects.replay_process import measure as measure_process
+from relay.driver import Held
 from relay.journal import Journal, JournalFullError
-from relay.relay import Held
 
 SIZES = (100, 200, 400, 800)
 MODULE_SIZES = (1_000, 2_000, 4_000, 8_000)
--- a/tests/scale/test_destinations.py
+++ b/tests/scale/test_destinations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Action, Event
 from decisions.state import Destination
 from fleetlab.scale.fit import exponent
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -12,7 +12,7 @@
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.intake import CountingDriver, driver_intake, process_intake
 from fleetlab.scale.subjects.endpoint_list import direct_readings, driver_readings
-from relay.host_list import HostList
+from relay.endpoint_list import HostList
 
 SIZES = (40, 80, 160)
 SEED = 1
--- a/tests/scale/test_fleet_outage.py
+++ b/tests/scale/test_fleet_outage.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from fleetlab.scale.records import Source
 from fleetlab.scale.subjects import fleet_outage
 from fleetlab.scale.subjects.fleet_outage import DEMAND_PER_S
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,11 +5,11 @@
 import heapq
 
 from decisions import interface as api
-from decisions.brain import MOST_GONE, Relay
-from relay import hosts
-from relay.host_list import HostList, Listed
+from decisions.engine import MOST_GONE, Relay
+from relay import endpoint_calls
+from relay.endpoint_list import HostList, Listed
 from tests.support import SAFE, SECOND, TURN, arrival, entry, roster, sends, settings
-from tests.test_hosts import Calls
+from tests.test_endpoint_calls import Calls
 
 
 def sizes(relay: Relay) -> dict[str, int]:
@@ -66,11 +66,11 @@
 
 async def test_hosts_remember_so_many_names_and_waits() -> None:
     calls = Calls(1)
-    for number in range(2 * hosts.MOST_EVER):
+    for number in range(2 * endpoint_calls.MOST_EVER):
         gone = entry(f"x{number}", listing=api.Listing.GONE)
         calls.hosts.apply(HostList(2, False, (Listed(gone, ("127.0.0.1", 1)),)))
     calls.list(1)
-    assert len(calls.hosts.ever) == hosts.MOST_EVER
+    assert len(calls.hosts.ever) == endpoint_calls.MOST_EVER
     assert "h1" in calls.hosts.ever
     assert "x0" not in calls.hosts.ever
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -17,9 +17,9 @@
 
 from relay import __main__ as relay_main
 from relay import clients, resp
-from relay.relay import Driver
+from relay.driver import Driver
 from standins.scripted import BOUND_S, Client, World, enqueue, packed, silent, soon
-from tests.test_listen import open_now
+from tests.test_listeners import open_now
 
 BROKEN = b"nonsense\r\n"
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from tests.cold_fleet import Day, Fleet
 
 OUTAGES = ["down", "shut", "fail", "hang"]
--- a/tests/test_crossings.py
+++ b/tests/test_concurrent_events.py
@@ -12,10 +12,10 @@
 from decisions.interface import Verdict
 from relay import config
 from relay.calls import PartOutcome
+from relay.driver import Driver, Handed
 from relay.journal import Journal
-from relay.relay import Driver, Handed
 from standins.scripted import Request, World, delivered, silent
-from tests.test_hosts import Calls, serving
+from tests.test_endpoint_calls import Calls, serving
 
 
 def hold_until(monotonic_s: float) -> None:
--- a/tests/test_hosts.py
+++ b/tests/test_endpoint_calls.py
@@ -18,8 +18,8 @@
 from decisions.interface import Entry, Kind, Listing, Verdict
 from relay.answers import report_of, verdict_of, wait_of
 from relay.calls import Call, Part, PartOutcome
-from relay.host_list import HostList, Listed
-from relay.hosts import Hosts, Left
+from relay.endpoint_calls import Hosts, Left
+from relay.endpoint_list import HostList, Listed
 from relay.http import Connection
 from standins.scripted import HttpServer, Request, delivered, silent, soon
 from tests.sockets import full_backlog
@@ -623,7 +623,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """With the port by which the host's records name its connection: else nothing tells who held it."""
-    caplog.set_level("INFO", "relay.hosts")
+    caplog.set_level("INFO", "relay.endpoint_calls")
     host = await serving(silent)
     calls = Calls(host.port)
     call = calls.send("m1")
--- a/tests/test_host_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from relay.discovery import LineBuffer, most_line_bytes
-from relay.host_list import HostList, Listed, ListReader, changes_of, pieces, read_list
+from relay.endpoint_list import HostList, Listed, ListReader, changes_of, pieces, read_list
 from tests.support import entry, settings
-from tests.test_hosts import Calls
+from tests.test_endpoint_calls import Calls
 
 HEALTH = ("SERVING", "DRAINING", "DELETED")
 PORT = 6379
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -7,7 +7,7 @@
 import pytest
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.state import Destination, Endpoint, Guard
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,8 +12,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
+from relay.driver import Handed
 from relay.journal import MARK, SLACK_BYTES, Attempt, Journal, JournalFullError, blocks
-from relay.relay import Handed
 
 DISK = 3_000_000
 
--- a/tests/test_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from decisions import interface as api
-from decisions.brain import MOST_GONE, Relay
-from relay.host_list import HostList, Listed
+from decisions.engine import MOST_GONE, Relay
+from relay.endpoint_list import HostList, Listed
 from relay.journal import Journal
 from standins.scripted import World, soon
 from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.test_endpoint_calls import Calls
 from tests.test_handover import upgraded
-from tests.test_hosts import Calls
 
 MANY = 1024
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,12 +8,12 @@
 import pytest
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.state import Destination, Endpoint
 from tests.support import SAFE, arrival, entry, roster, sends, settings
 
 ROOT = Path(__file__).resolve().parent.parent
-BRAIN = (ROOT / "decisions" / "brain.py").read_text(encoding="utf-8")
+BRAIN = (ROOT / "decisions" / "engine.py").read_text(encoding="utf-8")
 
 
 def test_the_module_can_be_read_whole() -> None:
--- a/tests/test_listen.py
+++ b/tests/test_listeners.py
@@ -16,11 +16,11 @@
 import pytest
 
 from decisions.interface import Verdict
-from relay import listen
+from relay import listeners
 from relay.http import Connection
-from relay.listen import Listener
+from relay.listeners import Listener
 from standins.scripted import World, enqueue, packed, soon
-from tests.test_hosts import Calls, serving
+from tests.test_endpoint_calls import Calls, serving
 
 KIND, AT_ONCE = 1000, 100  # connections of a bad kind, and of these at the same time
 
@@ -79,7 +79,7 @@
             tries[0] += 1
             raise OSError(errno.EMFILE, "none left")
 
-    monkeypatch.setattr(listen, "REST_S", 3600.0)
+    monkeypatch.setattr(listeners, "REST_S", 3600.0)
     sock = Full()
     sock.bind(("127.0.0.1", 0))
     listener = Listener(sock, asyncio.Protocol, lambda: made.append("room"))
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from decisions.brain import Relay
+from decisions.engine import Relay
 from decisions.interface import Action, Event, Listing, Roster
 from relay import discovery
 from relay.config import Config, load
 from relay.discovery import LONG_LINE, PIECE
+from relay.driver import Driver
 from relay.journal import Journal
-from relay.relay import Driver
 from standins.scripted import Request, World, soon
 from tests.test_watch import HEAD, TOLD_S, chunk
 
--- a/tests/test_lanes.py
+++ b/tests/test_ranked_queue.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from decisions import interface as api
-from decisions.brain import RISKS, Relay
-from decisions.lanes import Lane, Ranked
+from decisions.engine import RISKS, Relay
+from decisions.ranked_queue import Lane, Ranked
 from decisions.state import Call, Destination, Endpoint, Message
 from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
 
--- a/tests/test_cost.py
+++ b/tests/test_resource_usage.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from relay import cost
-from relay.cost import Counted, Ledger, Mark, Used, figures
+from relay import resource_usage
+from relay.resource_usage import Counted, Ledger, Mark, Used, figures
 from standins.scripted import World, silent, soon
 
 COUNTED = Counted(ended=10, module_us=300, journal_bytes=2_000, journal_writes=30, descriptors={"clients": 4})
@@ -65,7 +65,7 @@
 
 
 def test_a_platform_without_its_sources(tmp_path: Path) -> None:
-    told = cost.used(tmp_path)
+    told = resource_usage.used(tmp_path)
     assert (told.resident_bytes, told.most_resident_bytes, told.descriptors) == (None, None, None)
     names = {line.partition(":")[0] for line in Ledger(lambda: COUNTED, tmp_path).lines()}
     assert "cost.messages.ended" in names
@@ -74,14 +74,17 @@
 
 async def test_the_window_is_bounded_and_ends_with_the_ledger(monkeypatch: pytest.MonkeyPatch) -> None:
     """A loop that stands still for a while shows as lag."""
-    monkeypatch.setattr(cost, "TICK_S", 0.001)
+    monkeypatch.setattr(resource_usage, "TICK_S", 0.001)
     ledger = Ledger(lambda: COUNTED)
     ledger.start()
-    while len(ledger._lags_us) < cost.WINDOW_TICKS:
+    while len(ledger._lags_us) < resource_usage.WINDOW_TICKS:
         await asyncio.sleep(0.001)
     for _ in range(50):
         await asyncio.sleep(0.001)
-    assert (len(ledger._lags_us), len(ledger._marks)) == (cost.WINDOW_TICKS, cost.WINDOW_TICKS)
+    assert (len(ledger._lags_us), len(ledger._marks)) == (
+        resource_usage.WINDOW_TICKS,
+        resource_usage.WINDOW_TICKS,
+    )
     assert any(line.startswith("cost.window.most_loop_lag_us:") for line in ledger.lines())
     assert "processor.us_per_message" in ledger.summary()
     ledger.close()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from decisions.brain import Relay as Module
+from decisions.engine import Relay as Module
 from relay import config
 from relay.__main__ import serve
 from relay.journal import Journal
--- a/tests/test_former_life.py
+++ b/tests/test_restored_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from tests.support import SECOND, TURN, UNSAFE, ZONED, ended, entry, roster, sends, settings
 
 
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -41,7 +41,7 @@
 def drill(text: str) -> subprocess.CompletedProcess[str]:
     """Run the adapter on a whole conversation."""
     return subprocess.run(
-        [sys.executable, "-m", "decisions.drill"],
+        [sys.executable, "-m", "decisions.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -29,7 +29,7 @@
 def test_a_relay_loads_neither_tls_nor_anything_of_tests() -> None:
     """OpenSSL alone took 5.5 MB of the 26 that a relay of 32 MB had at its start."""
     loaded = set(said("import sys, relay.__main__; print(*sys.modules)", ROOT).split())
-    assert "decisions.brain" in loaded
+    assert "decisions.engine" in loaded
     assert loaded.isdisjoint(UNWANTED)
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 import pytest
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from relay import discovery
 from standins.scripted import Request, World
 from tests.support import SECOND, entry, roster, settings
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from decisions import interface as api
-from decisions.brain import Relay
+from decisions.engine import Relay
 from standins.scripted import Request, World
 from tests.sockets import full_backlog
 from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
