--- a/fleetlab/crowd.py
+++ b/fleetlab/crowd.py
@@ -19,8 +19,8 @@
 
 from fleetlab.program import PORT, main
 from quorum.client import Client, QuorumError
-from quorum.machine import Done
-from quorum.monotonic import now_us
+from quorum.monotonic_clock import now_us
+from quorum.state_machine import Done
 from tomlconfig import address_of
 
 FIGURES = "figures"
--- a/fleetlab/scale/hollow_quorum.py
+++ b/fleetlab/scale/hollow_quorum.py
@@ -18,10 +18,10 @@
 from fleetlab.sim.world import World
 from membership.core import SECOND
 from quorum import wire
-from quorum.machine import Acquire, Done, Open, Renew
 from quorum.member import Member, Out, Reply, Request, Response
 from quorum.messages import Message, Persist, Saved, Send
 from quorum.raft import Role, Timing
+from quorum.state_machine import Acquire, Done, Open, Renew
 from quorum.store import Written, record_of
 
 MEMBERS = ("quorum0", "quorum1", "quorum2")
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -8,7 +8,7 @@
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import SettledSim
 from membership.core import Peers
-from membership.standing import Fleet
+from membership.view_agreement import Fleet
 
 SETTLE_S, CALM_S = 15.0, 45.0  # simulated
 LOOKS = 20
--- a/fleetlab/sim/model.py
+++ b/fleetlab/sim/model.py
@@ -23,9 +23,9 @@
 from msgspec.structs import replace
 
 from fleetlab.sim.quorum import BrokenError, Parts
-from quorum.clocks import Clocks
 from quorum.holder import Bounds, Holding
-from quorum.machine import (
+from quorum.lease_timers import Clocks
+from quorum.state_machine import (
     Acquire,
     Answer,
     Command,
--- a/fleetlab/sim/quorum/holder.py
+++ b/fleetlab/sim/quorum/holder.py
@@ -11,8 +11,8 @@
 from fleetlab.sim.quorum.judge import BrokenError
 from fleetlab.sim.quorum.plan import DELAY_MS, DRIFT, KEYS, LEASES, SECOND, TTL_MS
 from quorum.holder import Bounds, Holding
-from quorum.machine import Acquire, Done, Open, Put, Release, Renew
 from quorum.member import Read, Request, Response, Told, Wait
+from quorum.state_machine import Acquire, Done, Open, Put, Release, Renew
 
 if TYPE_CHECKING:
     from fleetlab.sim.quorum.simulation import QuorumSim
--- a/fleetlab/sim/quorum/judge.py
+++ b/fleetlab/sim/quorum/judge.py
@@ -8,10 +8,10 @@
 
 from fleetlab.checks import Run, one_actor
 from fleetlab.sim.linear import Operation, linearizable
-from quorum.machine import Done, Put, Refused, grows
 from quorum.member import Member, NoRoom, Read, Request, Wait, Watch
 from quorum.messages import Committed
 from quorum.raft import Raft, Role
+from quorum.state_machine import Done, Put, Refused, grows
 from standins import records
 
 if TYPE_CHECKING:
--- a/fleetlab/sim/quorum/node.py
+++ b/fleetlab/sim/quorum/node.py
@@ -9,7 +9,7 @@
 from fleetlab.sim.quorum.judge import BrokenError
 from fleetlab.sim.quorum.plan import DRIFT, DRIFT_USED, NARROW, TIMING
 from fleetlab.sim.world import SimDisk
-from quorum.lives import Claim, Life
+from quorum.incarnations import Claim, Life
 from quorum.member import Member, Reply, Shunned
 from quorum.messages import Persist, Send
 from quorum.raft import Role
--- a/fleetlab/sim/quorum/plan.py
+++ b/fleetlab/sim/quorum/plan.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from quorum.clocks import Clocks
 from quorum.holder import Asking, Fence, Holding
-from quorum.lives import Lives
-from quorum.machine import Machine
+from quorum.incarnations import Lives
+from quorum.lease_timers import Clocks
 from quorum.member import Member
 from quorum.raft import Raft, Timing
+from quorum.state_machine import Machine
 
 SECOND = 1_000_000
 TIMING = Timing(least_election_us=150_000, most_election_us=300_000, heartbeat_us=40_000)
--- a/fleetlab/sim/quorum/simulation.py
+++ b/fleetlab/sim/quorum/simulation.py
@@ -14,11 +14,11 @@
 from fleetlab.sim.quorum.plan import KEYS, LEASES, SECOND, Parts, Plan
 from fleetlab.sim.world import Network, World
 from quorum.holder import Fence
-from quorum.lives import Claim, Life
-from quorum.machine import Done, Machine, Open, Put
+from quorum.incarnations import Claim, Life
 from quorum.member import Member, Reply, Request, Response
 from quorum.messages import Committed, Message
 from quorum.raft import Role
+from quorum.state_machine import Done, Machine, Open, Put
 
 SETTLED_S = 5  # after all faults, until work has gone on
 
--- a/membership/__main__.py
+++ b/membership/__main__.py
@@ -15,8 +15,8 @@
 from membership.config import Config, load
 from membership.generation import GenerationError, next_generation
 from membership.pages import View, pages
-from membership.shell import Shell
 from membership.trace import TRACE, traced
+from membership.transport import Shell
 from operatorpages import Pages
 from tomlconfig import ConfigError, address_of
 
--- a/membership/core.py
+++ b/membership/core.py
@@ -32,7 +32,7 @@
     State,
     Update,
 )
-from membership.roll import Roll
+from membership.sampling_pool import Roll
 
 SECOND = 1_000_000
 MOST_MEMBERS = 4096
--- a/membership/pages.py
+++ b/membership/pages.py
@@ -9,7 +9,7 @@
 
 from membership.core import LIVE
 from membership.messages import State, Update
-from membership.shell import Shell
+from membership.transport import Shell
 from operatorpages import JSON, METRICS, Page, Serve
 
 
--- a/membership/shell.py
+++ b/membership/transport.py
@@ -16,7 +16,7 @@
 from membership.config import Config
 from membership.core import LIVE, Peers
 from membership.messages import Changed, Exchange, Message, Out, Replaced, Say, State, Update
-from membership.standing import Fleet
+from membership.view_agreement import Fleet
 from tomlconfig import Address, address_of
 
 LOG = logging.getLogger("membership")
--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -17,10 +17,10 @@
 from quorum.client import QuorumError, call, leader_of, order, status
 from quorum.commands import ended_by_signal, play
 from quorum.config import load
-from quorum.logs import log_lines
-from quorum.machine import restored
 from quorum.messages import Snapshot
 from quorum.server import Server
+from quorum.service_logging import log_lines
+from quorum.state_machine import restored
 from quorum.store import StoreError, replace_file, restore
 from tomlconfig import Address, ConfigError, address_of
 
--- a/quorum/client.py
+++ b/quorum/client.py
@@ -13,7 +13,9 @@
 
 from quorum import wire
 from quorum.holder import Asking, Bounds, Holding
-from quorum.machine import (
+from quorum.member import Elsewhere, NoRoom, Read, Request, Response, Told, Unknown, Wait, Watch
+from quorum.monotonic_clock import now_us
+from quorum.state_machine import (
     NO_SESSION,
     Acquire,
     Answer,
@@ -26,8 +28,6 @@
     Release,
     Renew,
 )
-from quorum.member import Elsewhere, NoRoom, Read, Request, Response, Told, Unknown, Wait, Watch
-from quorum.monotonic import now_us
 from quorum.wire import MOST_FRAME, VERSION, Hello, WireError, frame
 from tomlconfig import Address
 
--- a/quorum/clocks.py
+++ b/quorum/lease_timers.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from quorum.machine import Acquire, Answer, Close, Command, Done, Expire, Free, Lease, Renew
+from quorum.state_machine import Acquire, Answer, Close, Command, Done, Expire, Free, Lease, Renew
 
 RETRY_US = 1_000_000  # until an end that was proposed and not committed is proposed again
 SLACK = 64  # due times of clocks that were set anew, beside as many as there are clocks
--- a/quorum/member.py
+++ b/quorum/member.py
@@ -7,9 +7,8 @@
 
 import msgspec
 
-from quorum import machine
-from quorum.clocks import Clocks, touched
-from quorum.machine import Acquire, Answer, Command, Done, Held, Machine, Put, Refused, Shun
+from quorum import state_machine
+from quorum.lease_timers import Clocks, touched
 from quorum.messages import (
     COMMAND,
     MEMBERS,
@@ -24,7 +23,8 @@
     Send,
 )
 from quorum.raft import Draw, Raft, Role, Timing
-from quorum.waiting import Waiting
+from quorum.state_machine import Acquire, Answer, Command, Done, Held, Machine, Put, Refused, Shun
+from quorum.wait_queue import Waiting
 
 COMPACT_AT = 4096  # entries in the log before it is compacted
 MOST_WAITERS = 4096  # requests that wait for leases
@@ -82,7 +82,7 @@
     why: str
 
 
-Request = machine.Asked | Read | Wait | Watch
+Request = state_machine.Asked | Read | Wait | Watch
 Response = Answer | Told | Elsewhere | Unknown | NoRoom
 FULL = "the disks of the quorum are full"
 
@@ -124,7 +124,7 @@
         return "" if bool(request.lease) != bool(request.key) else "a watch is for a lease or for a record"
     if isinstance(request, Read):
         return ""
-    return machine.fault_of(request.acquire if isinstance(request, Wait) else request)
+    return state_machine.fault_of(request.acquire if isinstance(request, Wait) else request)
 
 
 def watched(command: Command, watching: list[str]) -> list[str]:
@@ -133,7 +133,7 @@
         return [f"record {command.key}"]
     return (
         touched(command, watching)
-        if isinstance(command, machine.Close)
+        if isinstance(command, state_machine.Close)
         else [f"lease {name}" for name in touched(command, ())]
     )
 
@@ -288,13 +288,13 @@
     def _propose(self, tag: int, request: Request) -> None:
         command = request.acquire if isinstance(request, Wait) else request
         assert not isinstance(command, Read | Watch)
-        if machine.grows(command) and not self.raft.roomy:
+        if state_machine.grows(command) and not self.raft.roomy:
             self._reply(tag, NoRoom(FULL))
             return
         self._asked[tag] = request
         self._proposals.append((tag, msgspec.msgpack.encode(command)))
 
-    def _propose_own(self, commands: Sequence[machine.Expire | machine.Free | Shun]) -> None:
+    def _propose_own(self, commands: Sequence[state_machine.Expire | state_machine.Free | Shun]) -> None:
         for command in commands:
             self._inner -= 1
             self._proposals.append((self._inner, msgspec.msgpack.encode(command)))
@@ -338,7 +338,7 @@
         answer: Answer = Done()
         command: Command | None = None
         if action.entry.kind == COMMAND:
-            command = machine.command_of(action.entry.data)
+            command = state_machine.command_of(action.entry.data)
             answer = self.machine.apply(action.index, command)
             if isinstance(command, Shun):
                 self._out.append(Shunned((command.folder,)))
--- a/quorum/server.py
+++ b/quorum/server.py
@@ -19,13 +19,13 @@
 from operatorpages import JSON, METRICS, Page, Pages
 from quorum import wire
 from quorum.config import Config
-from quorum.figures import Figures
-from quorum.lives import Claim, Lives
-from quorum.machine import Done, Refused
+from quorum.incarnations import Claim, Lives
 from quorum.member import Elsewhere, Member, Out, Reply, Request, Shunned, Together
 from quorum.messages import Message, Persist, Send
-from quorum.monotonic import now_us
+from quorum.metrics import Figures
+from quorum.monotonic_clock import now_us
 from quorum.raft import Role, Timing
+from quorum.state_machine import Done, Refused
 from quorum.store import FULL, Store
 from quorum.wire import (
     FRAME_S,
--- a/quorum/machine.py
+++ b/quorum/state_machine.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from quorum.lives import MOST_SHUNNED
+from quorum.incarnations import MOST_SHUNNED
 
 MOST_SESSIONS, MOST_LEASES, MOST_RECORDS = 8192, 4096, 4096
 MOST_NAME, MOST_VALUE = 128, 64 * 1024  # bytes of a name and of a record
--- a/quorum/store.py
+++ b/quorum/store.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from quorum.lives import Life
+from quorum.incarnations import Life
 from quorum.log import Log
 from quorum.messages import Entry, Hard, Persist, Saved, Snapshot
 
--- a/quorum/tasks.py
+++ b/quorum/tasks.py
@@ -18,8 +18,8 @@
 
 from quorum.client import Client, Keeper, QuorumError
 from quorum.holder import Bounds
-from quorum.machine import Done
-from quorum.monotonic import now_us
+from quorum.monotonic_clock import now_us
+from quorum.state_machine import Done
 from tomlconfig import Address
 
 LOG = structlog.get_logger("quorum.tasks")
--- a/quorum/wire.py
+++ b/quorum/wire.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from quorum.lives import Claim, Life
+from quorum.incarnations import Claim, Life
 from quorum.member import Request, Response
 from quorum.messages import Message, Snapshot
 
--- a/sweeper/__main__.py
+++ b/sweeper/__main__.py
@@ -12,7 +12,7 @@
 
 from quorum.client import Client
 from quorum.commands import ended_by_signal, play
-from quorum.logs import log_lines
+from quorum.service_logging import log_lines
 from sweeper.config import Config, load
 from sweeper.sweeper import Sweeper, shown, summaries_of, tasks_of
 from tomlconfig import ConfigError
--- a/sweeper/config.py
+++ b/sweeper/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from quorum.machine import LEAST_TTL_MS, MOST_TTL_MS
+from quorum.state_machine import LEAST_TTL_MS, MOST_TTL_MS
 from sweeper.summary import MOST_IN_RECORD, MOST_NAME, MOST_RELAYS, slices_of
 from tomlconfig import Address, ConfigError, address_of, check_address, read
 
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -9,7 +9,7 @@
 from fleetlab.sim.members import PeersSim, Plan
 from membership.core import LIVE, MOST_MEMBERS, SECOND, Peers, Settings
 from membership.messages import Ack, Exchange, Gossip, Ping, Say, State, Update
-from membership.roll import Roll
+from membership.sampling_pool import Roll
 
 
 def test_a_roll_draws_each_name_alike_and_none_that_is_not_meant() -> None:
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,7 +18,7 @@
 from membership import config, wire
 from membership.generation import GenerationError, next_generation
 from membership.messages import Gossip, Ping, State, Update
-from membership.shell import Rates
+from membership.transport import Rates
 from standins.scripted import ROOT
 from tests.membership.members import PORT, Members, states
 from tomlconfig import ConfigError
--- a/tests/membership/test_standing.py
+++ b/tests/membership/test_view_agreement.py
@@ -9,7 +9,7 @@
 
 from membership.core import SECOND
 from membership.messages import State, Update
-from membership.standing import ALLOWED, SETTLE_US, STEP, STEP_US, Fleet, Standing, larger
+from membership.view_agreement import ALLOWED, SETTLE_US, STEP, STEP_US, Fleet, Standing, larger
 
 NAMES = [f"m{number:02}" for number in range(9)]
 
--- a/tests/quorum/bugs.py
+++ b/tests/quorum/planted_bugs.py
@@ -8,21 +8,9 @@
 from msgspec.structs import replace
 
 from fleetlab.sim.quorum import Parts
-from quorum.clocks import Clock, Clocks
 from quorum.holder import Asking, Fence, Holding
-from quorum.lives import Claim, Life, Lives
-from quorum.machine import (
-    Acquire,
-    Answer,
-    Close,
-    Expire,
-    Lease,
-    Machine,
-    Put,
-    Release,
-    Renew,
-    Session,
-)
+from quorum.incarnations import Claim, Life, Lives
+from quorum.lease_timers import Clock, Clocks
 from quorum.messages import (
     COMMAND,
     Action,
@@ -36,6 +24,18 @@
     Vote,
 )
 from quorum.raft import Leading, Raft
+from quorum.state_machine import (
+    Acquire,
+    Answer,
+    Close,
+    Expire,
+    Lease,
+    Machine,
+    Put,
+    Release,
+    Renew,
+    Session,
+)
 
 
 class VoteNotSynced(Raft):
--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -8,13 +8,13 @@
 import pytest
 
 from fleetlab.sim.quorum import Parts
-from quorum.lives import Claim, Life
-from quorum.machine import Acquire, Done, Expire, Open, Put, Renew, command_of
+from quorum.incarnations import Claim, Life
 from quorum.member import Elsewhere, Member, Out, Read, Reply, Request, Response, Told, Unknown
 from quorum.messages import NOOP, Append, Appended, AskVote, Entry, Message, Persist, Send, Vote
 from quorum.raft import Role, Timing
+from quorum.state_machine import Acquire, Done, Expire, Open, Put, Renew, command_of
 from quorum.store import Folded
-from tests.quorum.bugs import BUGS
+from tests.quorum.planted_bugs import BUGS
 
 TIMING = Timing(least_election_us=100, most_election_us=200, heartbeat_us=20)
 
--- a/tests/quorum/test_model.py
+++ b/tests/quorum/test_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fleetlab.sim.model import SMALL, Explored, Limits, explore
-from tests.quorum.bugs import BUGS
+from tests.quorum.planted_bugs import BUGS
 
 # A small configuration in which each bug shows, and the rule that it breaks.
 FOUND_IN = {
--- a/tests/quorum/test_server.py
+++ b/tests/quorum/test_server.py
@@ -15,9 +15,9 @@
 
 from quorum import wire
 from quorum.client import Client, Keeper, QuorumError, call, order
-from quorum.machine import MOST_VALUE, RESTORED_TOKENS, Done, Refused
 from quorum.member import NoRoom
-from quorum.monotonic import now_us
+from quorum.monotonic_clock import now_us
+from quorum.state_machine import MOST_VALUE, RESTORED_TOKENS, Done, Refused
 from quorum.store import Store, StoreError
 from quorum.wire import FRAME_S, MOST_ASKED, SIZE, VERSION, Hello, frame
 from standins.scripted import ROOT
--- a/tests/quorum/test_logs.py
+++ b/tests/quorum/test_service_logging.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import TextIO, cast
 
-from quorum.logs import Lines
+from quorum.service_logging import Lines
 from tests.quorum.servers import Quorum
 
 
--- a/tests/quorum/test_sim.py
+++ b/tests/quorum/test_sim.py
@@ -12,10 +12,10 @@
 from fleetlab.scenario import Kind
 from fleetlab.sim.linear import FOREVER, Operation, linearizable
 from fleetlab.sim.quorum import Campaign, Parts, QuorumSim, campaign, kept, plan_of, played, step_record
-from quorum.machine import Done, Put, Refused
 from quorum.member import Read, Told
+from quorum.state_machine import Done, Put, Refused
 from standins import records
-from tests.quorum.bugs import BUGS
+from tests.quorum.planted_bugs import BUGS
 
 SCHEDULES = range(400)
 # Seeds at which a bug shows, so that this takes seconds; a campaign finds them without being told.
--- a/tests/quorum/test_tasks.py
+++ b/tests/quorum/test_tasks.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from quorum.machine import MOST_VALUE
-from quorum.monotonic import now_us
+from quorum.monotonic_clock import now_us
+from quorum.state_machine import MOST_VALUE
 from quorum.tasks import MOST_ERRORS, Runner, Step, Terms
 from standins.scripted import ROOT
 from sweeper import summary
