--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -18,7 +18,7 @@
 from rich.progress import Progress, SpinnerColumn, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from fleetlab import runs, scenario, schedule
+from fleetlab import fault_schedule, run_folders, scenario
 from fleetlab import soak as soaking
 from fleetlab.checks import Result
 from fleetlab.fleet import FleetError
@@ -44,7 +44,7 @@
 
 
 @contextmanager
-def progress() -> Iterator[runs.Say]:
+def progress() -> Iterator[run_folders.Say]:
     """Progress as it suits standard error: the last line and the time on a terminal, else plain lines."""
     if not sys.stderr.isatty():
         yield told
@@ -138,10 +138,10 @@
     as_json: Json = False,
 ) -> None:
     """Play a scenario with real processes and check its history."""
-    plan = runs.planned(Path(name).stem, scenario.load(name, relays=relays, per_s=load), seed)
+    plan = run_folders.planned(Path(name).stem, scenario.load(name, relays=relays, per_s=load), seed)
     folder = out or default_out(name, seed)
     with interruptible(), progress() as say:
-        result = runs.play(plan, folder, say)
+        result = run_folders.play(plan, folder, say)
     raise typer.Exit(show(result, folder, as_json))
 
 
@@ -162,11 +162,11 @@
     seed: Annotated[int, typer.Option(min=0)] = 1,
 ) -> None:
     """Three relays, one killed with work in hand: a table of what became of it, and a page."""
-    plan = runs.planned("demo", scenario.load("demo"), seed)
+    plan = run_folders.planned("demo", scenario.load("demo"), seed)
     with interruptible(), progress() as say:
-        result = runs.play(plan, out, say)
+        result = run_folders.play(plan, out, say)
     code = show(result, out, as_json=False)
-    print(f"the page: {runs.report(out).resolve()}")
+    print(f"the page: {run_folders.report(out).resolve()}")
     raise typer.Exit(code)
 
 
@@ -207,7 +207,7 @@
 @app.command()
 def report(folder: Folder) -> None:
     """Write a run's page: time lines, latencies, who did what."""
-    print(runs.report(folder).resolve())
+    print(run_folders.report(folder).resolve())
 
 
 @app.command()
@@ -217,7 +217,7 @@
     as_json: Json = False,
 ) -> None:
     """Two runs side by side: counts, worth, latency and cost."""
-    pairs = runs.compared(first, second)
+    pairs = run_folders.compared(first, second)
     if as_json:
         print(msgspec.json.encode({name: [one, other] for name, one, other in pairs}).decode())
         return
@@ -241,16 +241,16 @@
 ) -> None:
     """Play scenarios with several seeds and sizes in turn, and print their table in Markdown."""
     some = list(scenario.names()) if names == ["all"] else names
-    print(runs.HEADING)
+    print(run_folders.HEADING)
     for name in some:
         for size in numbers(relays, "--relays"):
             results = []
             for seed in numbers(seeds, "--seeds"):
                 played = scenario.load(name, relays=size, per_s=min(most, each * size))
-                plan = runs.planned(Path(name).stem, played, seed)
+                plan = run_folders.planned(Path(name).stem, played, seed)
                 with interruptible(), progress() as say:
-                    results.append(runs.play(plan, out / f"{plan.name}-{size}-{seed}", say))
-            print(runs.row(results), flush=True)
+                    results.append(run_folders.play(plan, out / f"{plan.name}-{size}-{seed}", say))
+            print(run_folders.row(results), flush=True)
 
 
 @app.command()
@@ -332,21 +332,21 @@
 @app.command()
 def check(folder: Folder, as_json: Json = False) -> None:
     """Judge a run's history once more."""
-    raise typer.Exit(show(runs.check(folder), folder, as_json))
+    raise typer.Exit(show(run_folders.check(folder), folder, as_json))
 
 
 @app.command()
 def shrink(
     folder: Folder,
     out: Annotated[Path | None, typer.Option(help="Folder of the smallest run.")] = None,
-    most: Annotated[int, typer.Option("--runs", min=1, help="Runs at most.")] = runs.MOST_SHRINK_RUNS,
+    most: Annotated[int, typer.Option("--runs", min=1, help="Runs at most.")] = run_folders.MOST_SHRINK_RUNS,
 ) -> None:
     """Find the smallest list of faults with which the run still fails."""
     target = out or folder.with_name(f"{folder.name}-small")
     with interruptible(), progress() as say:
-        faults, played = runs.shrink(folder, target, say, most)
+        faults, played = run_folders.shrink(folder, target, say, most)
     for fault in faults:
-        print(f"{fault.at_s:7.3f} s  {schedule.what(fault)} on {', '.join(fault.on)}")
+        print(f"{fault.at_s:7.3f} s  {fault_schedule.what(fault)} on {', '.join(fault.on)}")
     print(f"{len(faults)} faults after {played} runs; the run is in {target}")
 
 
@@ -356,7 +356,7 @@
         return int(app(standalone_mode=False) or HOLDS)
     except typer.Exit as end:
         return end.exit_code
-    except (scenario.ScenarioError, runs.RunError, HistoryError, FleetError, ScaleError) as error:
+    except (scenario.ScenarioError, run_folders.RunError, HistoryError, FleetError, ScaleError) as error:
         print(f"fleetlab: {error}", file=sys.stderr)
     except Exception as error:
         if not hasattr(error, "format_message"):  # typer's and click's own errors of use have it
--- a/fleetlab/echo.py
+++ b/fleetlab/echo_program.py
@@ -1,4 +1,5 @@
-"""The lab's plain program, ``python -m fleetlab.echo CONFIG``: processes that ask each other, to try links.
+"""The lab's plain program, ``python -m fleetlab.echo_program CONFIG``: processes that ask each other,
+to try links.
 
 Each listens at its address, asks every other ten times a second over a new connection, and notes when it
 was answered, one line of JSON an answer, in ``heard.jsonl`` in its state folder.
--- a/fleetlab/resource.py
+++ b/fleetlab/fenced_counter.py
@@ -1,4 +1,4 @@
-"""What leased tasks act on, ``python -m fleetlab.resource CONFIG``: a fenced and an unfenced counter.
+"""What leased tasks act on, ``python -m fleetlab.fenced_counter CONFIG``: a fenced and an unfenced counter.
 
 Each act names its holder and token. The fenced one keeps the rule (no token below the highest seen), the
 unfenced one lets everybody in; both note every act with the time at which it came, in ``acts.jsonl``, which
--- a/fleetlab/lab.py
+++ b/fleetlab/lab_run.py
@@ -17,13 +17,14 @@
 import msgspec
 
 from fleetlab.addresses import CLIENTS, SERVERS, Addresses
+from fleetlab.admin_calls import costs_of
 from fleetlab.checks.processes import CALLS_MODULE, CALLS_NETWORK
-from fleetlab.crowd import FIGURES
+from fleetlab.fault_schedule import Planned, numbered, what
+from fleetlab.fenced_counter import ACTS, Act
 from fleetlab.fleet import Fleet, FleetError, Limits, Member, deploy_run, peak_memory_mb, python_run
+from fleetlab.lease_load import FIGURES
 from fleetlab.links import Address, Condition, TcpLink, UdpLink
-from fleetlab.operators import costs_of
 from fleetlab.process_faults import ProcessFaults
-from fleetlab.resource import ACTS, Act
 from fleetlab.scenario import (
     ADMIN_PORT,
     AT,
@@ -40,7 +41,6 @@
     links_of_program,
     links_of_relays,
 )
-from fleetlab.schedule import Planned, numbered, what
 from fleetlab.settings import settings
 from membership.trace import TRACE, Seen
 from standins import clients, records
@@ -153,7 +153,7 @@
     async def play(self) -> None:
         """The whole run; ``FleetError`` where the fleet does not come up. No process is left behind."""
         self.out.mkdir(parents=True, exist_ok=True)
-        command = deploy_run() if self.scenario.relay == "run" else python_run("fleetlab.plain")
+        command = deploy_run() if self.scenario.relay == "run" else python_run("fleetlab.scripted_relay")
         check_descriptors(self.scenario)
         self._places = places = Addresses()
         names = self.scenario.relay_names
--- a/fleetlab/holding.py
+++ b/fleetlab/lease_holder.py
@@ -1,4 +1,5 @@
-"""Holders of leases for the lab, ``python -m fleetlab.holding CONFIG``: take one, act while it lasts, again.
+"""Holders of leases for the lab, ``python -m fleetlab.lease_holder CONFIG``: take one, act while it lasts,
+again.
 
 It trusts the holder's library alone: it checks ``may_act`` before each act, then acts on both resources. What
 it knows of itself it does not tell; the resource's record is judged.
@@ -13,8 +14,8 @@
 
 import msgspec
 
+from fleetlab.fenced_counter import Act
 from fleetlab.program import PORT, main
-from fleetlab.resource import Act
 from quorum.client import Client, Keeper, QuorumError
 from tomlconfig import Address, address_of
 
--- a/fleetlab/crowd.py
+++ b/fleetlab/lease_load.py
@@ -1,4 +1,4 @@
-"""Many holders in one process, ``python -m fleetlab.crowd CONFIG``: what a quorum bears, and how fast.
+"""Many holders in one process, ``python -m fleetlab.lease_load CONFIG``: what a quorum bears, and how fast.
 
 Each holder has a session of its own. With ``hold_ms`` of 0 it keeps its lease by renewals, as a task does;
 else it gives it back after so long and takes it again. ``lease`` is ``own`` (one for each holder) or ``one``
--- a/fleetlab/process_faults.py
+++ b/fleetlab/process_faults.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 from functools import partial
 
+from fleetlab.admin_calls import says_yes
 from fleetlab.fleet import Fleet, Member
-from fleetlab.operators import says_yes
 from fleetlab.scenario import ADMIN_PORT, CLIENTS_PORT, Fault
 
 KILL_AFTER_S = 3.7  # s from SIGTERM to SIGKILL, as the protocol's page says
--- a/fleetlab/runs.py
+++ b/fleetlab/run_folders.py
@@ -12,10 +12,10 @@
 import msgspec
 import structlog
 
-from fleetlab import schedule
+from fleetlab import fault_schedule
 from fleetlab.checks import Finding, Result, Run, judged
 from fleetlab.fleet import FleetError
-from fleetlab.lab import Lab
+from fleetlab.lab_run import Lab
 from fleetlab.report import page
 from fleetlab.scenario import Fault, Scenario
 from standins import records
@@ -42,7 +42,7 @@
 
 def planned(name: str, scenario: Scenario, seed: int) -> Plan:
     """A scenario's run with that seed."""
-    return Plan(name, scenario, seed, schedule.planned(scenario, seed))
+    return Plan(name, scenario, seed, fault_schedule.planned(scenario, seed))
 
 
 def play(plan: Plan, out: Path, say: Say) -> Result:
--- a/fleetlab/scale/intake.py
+++ b/fleetlab/scale/list_loading.py
@@ -17,8 +17,8 @@
 from decisions.interface import Action, Event
 from fleetlab.scale.child import Child
 from fleetlab.scale.directory import Counts, Hold, Tell, Up, directory_process
+from fleetlab.scale.event_loop_turns import TurnSelector
 from fleetlab.scale.process import resident_bytes
-from fleetlab.scale.turns import TurnSelector
 from relay.config import Config, load
 from relay.driver import Driver
 from relay.journal import Journal
--- a/fleetlab/scale/hollow_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -29,7 +29,7 @@
 SYNC_US = 1_000
 JOIN_US = SECOND  # over which holders begin
 TTL_MS = 6_000
-RENEWALS_PER_TTL = 3  # as ``fleetlab.crowd`` and ``quorum.holder`` have it
+RENEWALS_PER_TTL = 3  # as ``fleetlab.lease_load`` and ``quorum.holder`` have it
 
 
 class HollowMember:
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -23,10 +23,10 @@
     message,
     reserved_bytes,
 )
-from fleetlab.scale.hollow_module import STEP_US, HollowModule, lines_run
 from fleetlab.scale.process import processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.replay import replayed
+from fleetlab.scale.simulated_module import STEP_US, HollowModule, lines_run
 from fleetlab.scale.subject import Subject
 from relay.driver import Held
 from relay.journal import BLOCK, Attempt, Journal
--- a/fleetlab/scale/subjects/destinations.py
+++ b/fleetlab/scale/subjects/destinations.py
@@ -11,7 +11,7 @@
 
 from decisions.engine import Relay
 from decisions.interface import Settings
-from fleetlab.scale.looks import CountedDict
+from fleetlab.scale.counting_dict import CountedDict
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -8,7 +8,7 @@
 from decisions.engine import Relay
 from decisions.interface import Effect, MessageClass, Roster, RosterKind, Settings
 from fleetlab.scale import endpoints
-from fleetlab.scale.intake import GROUP, Intake, ProcessIntake, driver_intake, process_intake
+from fleetlab.scale.list_loading import GROUP, Intake, ProcessIntake, driver_intake, process_intake
 from fleetlab.scale.process import processor_seconds
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
--- a/fleetlab/scale/subjects/lease_holders.py
+++ b/fleetlab/scale/subjects/lease_holders.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fleetlab.scale.hollow_quorum import HollowQuorum
 from fleetlab.scale.process import processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
+from fleetlab.scale.simulated_quorum import HollowQuorum
 from fleetlab.scale.subject import Subject
 
 ELECT_S, JOIN_S, HOLD_S = 2.0, 4.0, 20.0  # simulated
--- a/fleetlab/scale/subjects/lease_holders_processes.py
+++ b/fleetlab/scale/subjects/lease_holders_processes.py
@@ -66,7 +66,7 @@
             (folder / name).mkdir()
             own = [f'name = "{name}"', f'address = "{net}.{100 + number}"', f'state = "{folder / name}"']
             some = [f"holders = {holders}", 'lease = "own"', "hold_ms = 0", "ttl_ms = 6000"]
-            await programs.start(name, "fleetlab.crowd", "\n".join([*own, *some, *members]))
+            await programs.start(name, "fleetlab.lease_load", "\n".join([*own, *some, *members]))
             crowds.append(folder / name)
         leader = await _all_hold(quorum, size)
         await asyncio.sleep(SETTLE_S)
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fleetlab.scale.load import Load
 from fleetlab.scale.process import freeze, processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
+from fleetlab.scale.simulated_load import Load
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import SettledSim
 from membership.core import Peers
--- a/fleetlab/scale/subjects/members_faults.py
+++ b/fleetlab/scale/subjects/members_faults.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from fleetlab.scale.load import Load
 from fleetlab.scale.process import freeze
 from fleetlab.scale.records import Reading
+from fleetlab.scale.simulated_load import Load
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.members import TARGET, memory_bytes
 from fleetlab.sim.settled import ZONES, SettledSim
--- a/fleetlab/scale/subjects/real_watchers.py
+++ b/fleetlab/scale/subjects/real_watchers.py
@@ -14,7 +14,7 @@
 from typing import IO
 
 from fleetlab.scale.directory import Tell, Up, directory_process
-from fleetlab.scale.intake import RelayWorld
+from fleetlab.scale.list_loading import RelayWorld
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.watchers import CHANGES, DOWN_S, LISTED, LOOK_S, PATIENCE_S, Fleet, Reach
--- a/fleetlab/scale/subjects/replacement.py
+++ b/fleetlab/scale/subjects/replacement.py
@@ -11,7 +11,7 @@
 from fleetlab.scale import endpoints
 from fleetlab.scale.child import Child
 from fleetlab.scale.directory import Counts, Tell, directory_process
-from fleetlab.scale.intake import ASK_S, PATIENCE_S, RelayWorld, longest_wait_s
+from fleetlab.scale.list_loading import ASK_S, PATIENCE_S, RelayWorld, longest_wait_s
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 
--- a/fleetlab/plain.py
+++ b/fleetlab/scripted_relay.py
@@ -1,4 +1,5 @@
-"""The lab's own plain relay, ``python -m fleetlab.plain``: scripted, without any of the project's decisions.
+"""The lab's own plain relay, ``python -m fleetlab.scripted_relay``: scripted, without any
+of the project's decisions.
 
 It takes every message on, calls an endpoint of its destination once, and ends it by that. The lab is
 calibrated with it: with no fault its own counts, which it writes to ``$ROUTER_STATE/counts.json``, agree to
--- a/fleetlab/soak.py
+++ b/fleetlab/soak.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy as np
 
-from fleetlab import runs, scenario, schedule
+from fleetlab import fault_schedule, run_folders, scenario
 from fleetlab.fleet import FleetError, deploy_run, die_with
 from fleetlab.scenario import Adversary, Fault, Scenario
 
@@ -56,7 +56,7 @@
         return f"seed {self.seed}: {word}; {told}"
 
 
-def plan_of(seed: int) -> runs.Plan:
+def plan_of(seed: int) -> run_folders.Plan:
     """A seed's play: its effects of classes, its faults, and a crowd with every fourth one."""
     played = scenario.load(NAME)
     classes = [
@@ -65,11 +65,11 @@
     ]
     played = msgspec.structs.replace(played, classes=classes)
     adversary = played.adversary or Adversary()
-    faults = schedule.planned(played, seed)
+    faults = fault_schedule.planned(played, seed)
     faults += stalls(played, seed)
     if seed % CROWD_EVERY == 0:
         faults.append(crowd(played, seed, adversary.from_s))
-    return runs.Plan(NAME, played, seed, faults)
+    return run_folders.Plan(NAME, played, seed, faults)
 
 
 def stalls(played: Scenario, seed: int) -> list[Fault]:
@@ -95,10 +95,10 @@
     """Play one seed into a folder of its own."""
     folder = out / f"{NAME}-{seed}"
     try:
-        result = runs.play(plan_of(seed), folder, lambda _: None)
+        result = run_folders.play(plan_of(seed), folder, lambda _: None)
     except FleetError as error:
         return Played(seed, {}, True, {}, Counter(), 0, str(error))
-    run = runs.opened(folder)
+    run = run_folders.opened(folder)
     return Played(
         seed,
         {name: check.first for name, check in result.checks.items() if not check.ok},
--- a/fleetlab/stepped.py
+++ b/fleetlab/stepped_clock.py
@@ -1,4 +1,4 @@
-"""A program whose wall clock steps by hours, ``python -m fleetlab.stepped CONFIG``.
+"""A program whose wall clock steps by hours, ``python -m fleetlab.stepped_clock CONFIG``.
 
 The first line of the configuration names the program: ``# runs: MODULE``. Its monotonic clock stays as it is.
 """
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from fleetlab import runs, scenario
+from fleetlab import run_folders, scenario
 from fleetlab.checks import Run
 from fleetlab.fleet import MOST_LOG, Fleet, FleetError, Limits
 from standins import records
@@ -200,9 +200,9 @@
 def test_a_further_program_runs_behind_links(tmp_path: Path) -> None:
     """Two processes of one module reach each other through the lab: not while one is dead, nor over a cut."""
     played = scenario.read(PROGRAMS, "two")
-    result = runs.play(runs.planned("two", played, 1), tmp_path / "run", lambda _: None)
+    result = run_folders.play(run_folders.planned("two", played, 1), tmp_path / "run", lambda _: None)
     assert result.ok, result.checks
-    run = runs.opened(tmp_path / "run")
+    run = run_folders.opened(tmp_path / "run")
     assert [len(run.lives[name]) for name in ("peer0", "peer1")] == [2, 1]
     heard = [
         json.loads(line)["at_s"]
@@ -221,7 +221,7 @@
 relay = "plain"
 [[program]]
 name = "peer"
-module = "fleetlab.echo"
+module = "fleetlab.echo_program"
 count = 2
 config = '''
 address = "{address}"
--- a/tests/lab/test_teeth.py
+++ b/tests/lab/test_planted_bugs.py
@@ -14,7 +14,7 @@
 import pytest
 
 from fleetlab.checks import CHECKERS, Run, findings, judged
-from fleetlab.plain import BUGS
+from fleetlab.scripted_relay import BUGS
 from standins import records
 from standins.scripted import ROOT
 
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from fleetlab import runs, scenario
+from fleetlab import run_folders, scenario
 from fleetlab.checks import judged
 from fleetlab.report import latencies, page
-from tests.lab.test_teeth import lab
+from tests.lab.test_planted_bugs import lab
 
 DAY = """
 about = "a plain day <of> a few seconds"
@@ -60,7 +60,7 @@
 
 def test_latencies_are_those_of_the_history(folder: Path) -> None:
     """Counted and ranked by the histogram as by a plain sort, to its three digits."""
-    run, result, found = runs.found_in(folder)
+    run, result, found = run_folders.found_in(folder)
     assert "<h1>" in page(run, result, found)
     for name, count, half, *_, most in latencies(run):
         took = sorted(
@@ -84,11 +84,11 @@
 
 def test_a_row_of_the_table_adds_up_its_seeds(folder: Path) -> None:
     """Counts are summed, what does not hold is named with its count."""
-    run, result, _ = runs.found_in(folder)
+    run, result, _ = run_folders.found_in(folder)
     _, twice = judged(run, result.scenario)
-    line = runs.row([result, result])
+    line = run_folders.row([result, result])
     cells = [cell.strip() for cell in line.strip("|").split("|")]
-    assert len(cells) == runs.HEADING.split("\n")[0].count("|") - 1
+    assert len(cells) == run_folders.HEADING.split("\n")[0].count("|") - 1
     assert cells[:4] == ["day", "2", str(2 * result.counts["messages"]), str(2 * result.counts["taken"])]
     broken = {name: 2 * len(some) for name, some in twice.items() if some}
     assert cells[-1] == (", ".join(f"{name} {count}" for name, count in sorted(broken.items())) or "hold")
@@ -97,11 +97,11 @@
 def test_a_failing_run_is_shrunk_to_the_fault_that_matters(tmp_path: Path) -> None:
     """A lost folder loses messages, a delay of the list does not."""
     text = DAY.replace('relay = "plain"\n', 'relay = "plain"\nbug = "forget"\n')
-    plan = runs.planned("day", scenario.read(text, "day"), 1)
-    assert runs.failed(runs.play(plan, tmp_path / "run", lambda _: None))
-    faults, played = runs.shrink(tmp_path / "run", tmp_path / "small", lambda _: None, 3)
+    plan = run_folders.planned("day", scenario.read(text, "day"), 1)
+    assert run_folders.failed(run_folders.play(plan, tmp_path / "run", lambda _: None))
+    faults, played = run_folders.shrink(tmp_path / "run", tmp_path / "small", lambda _: None, 3)
     assert (faults, played) == ([], 1)  # the bug needs no fault at all
-    assert runs.kept(tmp_path / "small").faults == []
+    assert run_folders.kept(tmp_path / "small").faults == []
 
 
 def test_the_projects_demo_is_the_first_thing_that_the_readme_says() -> None:
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fleetlab import addresses, lab, runs, scenario, schedule, templates
+from fleetlab import addresses, fault_schedule, lab_run, run_folders, scenario, templates
 from fleetlab.fleet import FleetError
 from fleetlab.scenario import Fault
 from standins import clients
@@ -107,10 +107,10 @@
     """And another seed others."""
     text = GOOD + "seconds = 20\nrelays = 5\n[adversary]\nfaults = 12\n" + KILL + "part = 0.4"
     played = scenario.read(text, "x")
-    assert schedule.planned(played, 5) == schedule.planned(played, 5)
-    assert schedule.planned(played, 5) != schedule.planned(played, 6)
-    assert len(schedule.planned(played, 5)) == 13
-    assert len(schedule.planned(played, 5)[0].on) == 2
+    assert fault_schedule.planned(played, 5) == fault_schedule.planned(played, 5)
+    assert fault_schedule.planned(played, 5) != fault_schedule.planned(played, 6)
+    assert len(fault_schedule.planned(played, 5)) == 13
+    assert len(fault_schedule.planned(played, 5)[0].on) == 2
 
     def load(seed: int) -> list[clients.Message]:
         return clients.draw(played.load, played.classes, played.tenants, [1, 2], seconds=20, seed=seed)
@@ -123,7 +123,7 @@
     """Whatever the adversary draws keeps the schema's own rules."""
     played = scenario.read(GOOD + "seconds = 20\n[adversary]\nfaults = 60", "x")
     for seed in range(20):
-        faults = schedule.planned(played, seed)
+        faults = fault_schedule.planned(played, seed)
         lines = [
             "[[fault]]\n" + "".join(f"{key} = {toml(getattr(fault, key))}\n" for key in keys(fault))
             for fault in faults
@@ -156,10 +156,10 @@
         assert isinstance(some, list)
         return faults[3] in some and faults[14] in some
 
-    assert runs.smallest(faults, fails, lambda: False) == [faults[3], faults[14]]
+    assert run_folders.smallest(faults, fails, lambda: False) == [faults[3], faults[14]]
     assert tried < 60
     tried = 0
-    rest = runs.smallest(faults, fails, lambda: tried >= 4)
+    rest = run_folders.smallest(faults, fails, lambda: tried >= 4)
     assert {3.0, 14.0} <= {fault.at_s for fault in rest}
     assert tried <= 4
 
@@ -199,8 +199,8 @@
     played = scenario.read(GOOD + "relays = 1024\n" + partners, "x")
     assert len(played.relay_names) == len(played.hosts) == 1024
     with pytest.raises(FleetError, match=f"1024 relays have {1024 * 1026} links"):
-        lab.check_descriptors(played)
-    lab.check_descriptors(scenario.read(GOOD + "relays = 3", "x"))
+        lab_run.check_descriptors(played)
+    lab_run.check_descriptors(scenario.read(GOOD + "relays = 3", "x"))
 
 
 @pytest.mark.parametrize(
@@ -217,9 +217,9 @@
     """The run may begin with just the sockets that it needs, and with one less that is told."""
     played = scenario.read(GOOD + "relays = 1\n" + programs, "x")
     links += 2 + len(played.hosts)
-    need = links + sockets + lab.SPARE_DESCRIPTORS
+    need = links + sockets + lab_run.SPARE_DESCRIPTORS
     monkeypatch.setattr("resource.getrlimit", lambda _: (need, need))
-    lab.check_descriptors(played)
+    lab_run.check_descriptors(played)
     monkeypatch.setattr("resource.getrlimit", lambda _: (need - 1, need))
     with pytest.raises(FleetError, match=f"further processes have {links} links"):
-        lab.check_descriptors(played)
+        lab_run.check_descriptors(played)
--- a/tests/quorum/test_processes.py
+++ b/tests/quorum/test_processes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fleetlab import runs, scenario
+from fleetlab import run_folders, scenario
 from fleetlab.checks import Result
 from standins import records
 from tests.lab.test_fleet import processes
@@ -33,14 +33,14 @@
 '''
 [[program]]
 name = "resource"
-module = "fleetlab.resource"
+module = "fleetlab.fenced_counter"
 config = '''
 address = "{{address}}"
 state = "{{state}}"
 '''
 [[program]]
 name = "holder"
-module = "fleetlab.holding"
+module = "fleetlab.lease_holder"
 count = 3
 config = '''
 name = "holder{{number}}"
@@ -78,10 +78,10 @@
 def played(folder: Path, faults: str, careless: bool = False) -> tuple[Result, list[records.Acted]]:
     """A run's result, and the acts on the fenced resource."""
     text = FLEET.replace("CARELESS", str(careless).lower()) + faults
-    plan = runs.planned("leases", scenario.read(text, "leases"), 1)
-    result = runs.play(plan, folder / "run", lambda _: None)
+    plan = run_folders.planned("leases", scenario.read(text, "leases"), 1)
+    result = run_folders.play(plan, folder / "run", lambda _: None)
     assert not processes(folder)
-    return result, [act for act in runs.opened(folder / "run").acts if act.resource == "fenced"]
+    return result, [act for act in run_folders.opened(folder / "run").acts if act.resource == "fenced"]
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -111,11 +111,13 @@
 
 def test_wall_clocks_that_step_by_hours_change_nothing(tmp_path: Path) -> None:
     """Of all members, all the time; a member is killed meanwhile."""
-    text = FLEET.replace("CARELESS", "false").replace('module = "quorum"', 'module = "fleetlab.stepped"')
+    text = FLEET.replace("CARELESS", "false").replace(
+        'module = "quorum"', 'module = "fleetlab.stepped_clock"'
+    )
     text = text.replace("config = '''\nname = \"quorum", "config = '''# runs: quorum\nname = \"quorum")
-    plan = runs.planned("leases", scenario.read(text + FAULTS["members killed in turn"], "leases"), 1)
-    result = runs.play(plan, tmp_path / "run", lambda _: None)
-    acts = [act for act in runs.opened(tmp_path / "run").acts if act.resource == "fenced"]
+    plan = run_folders.planned("leases", scenario.read(text + FAULTS["members killed in turn"], "leases"), 1)
+    result = run_folders.play(plan, tmp_path / "run", lambda _: None)
+    acts = [act for act in run_folders.opened(tmp_path / "run").acts if act.resource == "fenced"]
     logs = [tmp_path / "run" / "processes" / f"quorum{number}" / "log" for number in range(3)]
     lines = [line for log in logs for line in log.read_text().splitlines()]
     hours = {line.split("T")[1][:2] for line in lines if "timestamp" in line and "T" in line}
@@ -127,7 +129,7 @@
 CROWD = f"""
 [[program]]
 name = "crowd"
-module = "fleetlab.crowd"
+module = "fleetlab.lease_load"
 config = '''
 name = "crowd{{number}}"
 address = "{{address}}"
@@ -147,8 +149,8 @@
     """All hold and renew, or all have their turn at one lease; the figures stand in the run's result."""
     text = FLEET.partition('[[program]]\nname = "resource"')[0]
     text += CROWD.replace("LEASE", lease).replace("HOLD", str(hold_ms))
-    plan = runs.planned("leases", scenario.read(text, "leases"), 1)
-    figures = runs.play(plan, tmp_path / "run", lambda _: None).figures["crowd0"]
+    plan = run_folders.planned("leases", scenario.read(text, "leases"), 1)
+    figures = run_folders.play(plan, tmp_path / "run", lambda _: None).figures["crowd0"]
     assert figures["grants"] >= 30
     assert figures["errors"] == 0
     assert (figures["renewals"] > 100) is (hold_ms == 0)
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -13,8 +13,8 @@
 from decisions.engine import Relay
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.held_load import BODY_BYTES, DOWN, SPREAD, START_US, backlog, message, reserved_bytes
-from fleetlab.scale.hollow_module import STEP_US, HollowModule, lines_run
 from fleetlab.scale.replay import replayed
+from fleetlab.scale.simulated_module import STEP_US, HollowModule, lines_run
 from fleetlab.scale.subjects.backlog import (
     WatchedJournal,
     ample_bytes,
--- a/tests/scale/test_destinations.py
+++ b/tests/scale/test_destinations.py
@@ -10,8 +10,8 @@
 from decisions.engine import Relay
 from decisions.interface import Action, Event
 from decisions.state import Destination
+from fleetlab.scale.counting_dict import CountedDict
 from fleetlab.scale.fit import exponent
-from fleetlab.scale.looks import CountedDict
 from fleetlab.scale.subjects.destinations import Play, Result, count_readings, run
 from fleetlab.scale.traffic import Fault
 
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -8,9 +8,9 @@
 import pytest
 
 from decisions.interface import RosterKind
-from fleetlab.scale import intake
+from fleetlab.scale import list_loading
 from fleetlab.scale.fit import exponent
-from fleetlab.scale.intake import CountingDriver, driver_intake, process_intake
+from fleetlab.scale.list_loading import CountingDriver, driver_intake, process_intake
 from fleetlab.scale.subjects.endpoint_list import direct_readings, driver_readings
 from relay.endpoint_list import HostList
 
@@ -88,7 +88,7 @@
 
 
 def test_a_list_that_never_comes_ends_as_known_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(intake, "PATIENCE_S", 0.3)
+    monkeypatch.setattr(list_loading, "PATIENCE_S", 0.3)
     taken_in = driver_intake(40, SEED, DeafDriver)
     assert taken_in.seconds is None
     readings = {reading.figure: reading.value for reading in driver_readings(taken_in)}
--- a/tests/scale/test_lease_holders.py
+++ b/tests/scale/test_lease_holders.py
@@ -5,8 +5,8 @@
 import pytest
 
 from fleetlab.scale.fit import exponent
-from fleetlab.scale.hollow_quorum import RENEWALS_PER_TTL, TTL_MS, HollowQuorum
 from fleetlab.scale.records import Source
+from fleetlab.scale.simulated_quorum import RENEWALS_PER_TTL, TTL_MS, HollowQuorum
 from fleetlab.scale.subjects.lease_holders import ELECT_S, JOIN_S, held
 from quorum.member import Member
 from quorum.messages import Committed
