--- a/decisions/interface.py
+++ b/decisions/interface.py
@@ -36,7 +36,7 @@
         return self in (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.NOT_SENT)
 
 
-class RosterKind(Enum):
+class EndpointUpdateKind(Enum):
     """What a piece of news about the endpoint list is."""
 
     CHANGES = "changes"
@@ -63,9 +63,9 @@
     deadline_us: int
     worth: float = 1.0
     late_worth: float = 0.0
-    window_us: int = 0
-    scope_is_zone: bool = False
-    in_order: bool = False
+    key_window_us: int = 0
+    key_scope_is_zone: bool = False
+    ordered_by_key: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,12 +77,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class DestinationKind:
     """A kind of destination: whether its endpoints are separate routes, and messages to a call."""
 
     name: str
-    apart: bool = False
-    batch: int = 1
+    limit_per_endpoint: bool = False
+    batch_size: int = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 
     slots: int
     classes: tuple[MessageClass, ...]
-    kinds: tuple[Kind, ...] = ()
+    kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     zone_fees: dict[str, float] = field(default_factory=dict)
     group_size: int = 1
@@ -106,11 +106,11 @@
     advise_retry: bool = False
     max_retry_after_us: int = 0
     must_ask: bool = False
-    pushed: bool = False  # the list comes to an agent beside the relay: to ask that costs nothing
+    list_pushed: bool = False  # the list comes to an agent beside the relay: to ask that costs nothing
     ask_within_us: int = 0
-    rates_told: bool = False
-    rates_rough: bool = False
-    halves: bool = False
+    rate_hints_given: bool = False
+    rate_hints_rough: bool = False
+    late_worth_halves: bool = False
     over_share_worth: float = 1.0
     drain_grace_us: int = 0
     fall_multiple: float = 2.0
@@ -146,10 +146,10 @@
         for cls in self.classes:
             if not isinstance(cls.effect, Effect):
                 raise ValueError(f"classes.{cls.name}.effect: unknown effect {cls.effect!r}")
-            if cls.aim_us < 0 or cls.deadline_us < 1 or cls.window_us < 0:
+            if cls.aim_us < 0 or cls.deadline_us < 1 or cls.key_window_us < 0:
                 raise ValueError(f"classes.{cls.name}.deadline_us: times must not be negative")
         for kind in self.kinds:
-            if kind.batch < 1:
+            if kind.batch_size < 1:
                 raise ValueError(f"kinds.{kind.name}.batch: must be at least 1")
 
 
@@ -166,10 +166,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class EndpointUpdate:
     """News of the endpoint list; long news may come as several pieces, all but the first ``continued``."""
 
-    kind: RosterKind
+    kind: EndpointUpdateKind
     entries: tuple[Entry, ...] = ()
     continued: bool = False
 
@@ -185,12 +185,12 @@
     id: str
     dest: int
     cls: str
-    left_us: int
+    time_left_us: int
     tenant: str = ""
     key: str = ""
     attempts: int = 0
-    risky_age_us: int = -1
-    risky_zone: str = ""
+    uncertain_age_us: int = -1
+    uncertain_zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -204,9 +204,11 @@
     elapsed_us: int
     complete: bool = False
     wait_us: int = 0
-    limit_left: float | None = None
+    limit_share_left: float | None = None
     limit_per_s: float | None = None
-    turned_away: bool = False  # a connection that it answered that it has no room for: the endpoint lives
+    connections_full: bool = (
+        False  # a connection that it answered that it has no room for: the endpoint lives
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,7 +218,7 @@
     host: str
     verdict: Verdict
     elapsed_us: int
-    limit_left: float | None = None
+    limit_share_left: float | None = None
     limit_per_s: float | None = None
 
 
@@ -240,7 +242,7 @@
     banned: bool
 
 
-Event = Roster | Arrival | Outcome | ProbeResult | TimerDue | Withdrawn | Ban
+Event = EndpointUpdate | Arrival | Outcome | ProbeResult | TimerDue | Withdrawn | Ban
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,8 +251,8 @@
 
     id: str
     host: str
-    limit_us: int
-    begin_us: int = 0
+    timeout_us: int
+    latest_begin_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/decisions/simulator_adapter.py
+++ b/decisions/simulator_adapter.py
@@ -25,52 +25,52 @@
     "CANCELLED": api.Verdict.CANCELLED,
     "TOO_LATE": api.Verdict.NOT_SENT,
 }
-FORMS = {
-    "0": api.RosterKind.CHANGES,
-    "1": api.RosterKind.WHOLE,
-    "2": api.RosterKind.CACHED,
-    "3": api.RosterKind.FAILED,
+UPDATE_KINDS = {
+    "0": api.EndpointUpdateKind.CHANGES,
+    "1": api.EndpointUpdateKind.WHOLE,
+    "2": api.EndpointUpdateKind.CACHED,
+    "3": api.EndpointUpdateKind.FAILED,
 }
 LISTINGS = {"0": api.Listing.GONE, "1": api.Listing.READY, "2": api.Listing.DRAINING}
-LAST_TABLE = 15
+MAX_TABLE_REF = 15
 
 
-class BadLineError(ValueError):
+class MalformedLineError(ValueError):
     """A line that the wire does not allow."""
 
 
-def fields_of(text: str) -> Fields:
+def parse_fields(text: str) -> Fields:
     """Split ``name=value`` pairs; a part without ``=`` is malformed."""
     pairs: Fields = {}
     for part in text.split():
         name, sign, value = part.partition("=")
         if not sign or not name:
-            raise BadLineError(f"not a name=value pair: {part!r}")
+            raise MalformedLineError(f"not a name=value pair: {part!r}")
         pairs[name] = value
     return pairs
 
 
-def need(pairs: Fields, name: str) -> str:
+def required_value(pairs: Fields, name: str) -> str:
     """A value that has to be there."""
     if not pairs.get(name):
-        raise BadLineError(f"missing {name}")
+        raise MalformedLineError(f"missing {name}")
     return pairs[name]
 
 
-def whole(pairs: Fields, name: str, default: int | None = None) -> int:
+def parse_int(pairs: Fields, name: str, default: int | None = None) -> int:
     """A whole number, or the default where the wire lets it be absent."""
     text = pairs.get(name)
     if text is None and default is not None:
         return default
     try:
-        return int(need(pairs, name))
-    except BadLineError:
+        return int(required_value(pairs, name))
+    except MalformedLineError:
         raise
     except ValueError:
-        raise BadLineError(f"unreadable {name}: {text!r}") from None
+        raise MalformedLineError(f"unreadable {name}: {text!r}") from None
 
 
-def real(pairs: Fields, name: str, default: float) -> float:
+def parse_float(pairs: Fields, name: str, default: float) -> float:
     """A number, or the default where it is absent."""
     text = pairs.get(name)
     if text is None:
@@ -78,122 +78,125 @@
     try:
         return float(text)
     except ValueError:
-        raise BadLineError(f"unreadable {name}: {text!r}") from None
+        raise MalformedLineError(f"unreadable {name}: {text!r}") from None
 
 
-def flag(pairs: Fields, name: str) -> bool:
+def parse_bool(pairs: Fields, name: str) -> bool:
     """A truth value; absent means no."""
     text = pairs.get(name, "0")
     if text not in ("0", "1", "true", "false"):
-        raise BadLineError(f"unreadable {name}: {text!r}")
+        raise MalformedLineError(f"unreadable {name}: {text!r}")
     return text in ("1", "true")
 
 
-def known(table: dict[str, T], pairs: Fields, name: str) -> T:
+def parse_choice(table: dict[str, T], pairs: Fields, name: str) -> T:
     """A value out of a fixed set of words."""
-    word = need(pairs, name)
+    word = required_value(pairs, name)
     if word not in table:
-        raise BadLineError(f"unknown {name}: {word!r}")
+        raise MalformedLineError(f"unknown {name}: {word!r}")
     return table[word]
 
 
-def listed(pairs: Fields, name: str) -> list[str]:
+def split_list(pairs: Fields, name: str) -> list[str]:
     """A comma-joined list, empty where absent."""
     text = pairs.get(name, "")
     return text.split(",") if text else []
 
 
-def numbers(pairs: Fields, name: str) -> list[float]:
+def parse_float_list(pairs: Fields, name: str) -> list[float]:
     """A comma-joined list of numbers."""
     try:
-        return [float(text) for text in listed(pairs, name)]
+        return [float(text) for text in split_list(pairs, name)]
     except ValueError:
-        raise BadLineError(f"unreadable {name}: {pairs[name]!r}") from None
+        raise MalformedLineError(f"unreadable {name}: {pairs[name]!r}") from None
 
 
-def class_of(pairs: Fields, number: int) -> api.MessageClass:
+def parse_message_class(pairs: Fields, number: int) -> api.MessageClass:
     """One item of the list of classes."""
     at = f"request_classes.{number}."
-    word = need(pairs, at + "effect")
+    word = required_value(pairs, at + "effect")
     if word not in ("safe", "keyed", "unsafe"):
-        raise BadLineError(f"unknown {at}effect: {word!r}")
+        raise MalformedLineError(f"unknown {at}effect: {word!r}")
     return api.MessageClass(
-        name=need(pairs, at + "name"),
+        name=required_value(pairs, at + "name"),
         effect=api.Effect(word),
-        aim_us=whole(pairs, at + "aim_us"),
-        deadline_us=whole(pairs, at + "deadline_us"),
-        worth=real(pairs, at + "worth", 1.0),
-        late_worth=real(pairs, at + "late_worth", 0.0),
-        window_us=whole(pairs, at + "dedup_window_us", 0),
-        scope_is_zone=pairs.get(at + "key_scope", "all") != "all",
-        in_order=flag(pairs, at + "by_arrival"),
+        aim_us=parse_int(pairs, at + "aim_us"),
+        deadline_us=parse_int(pairs, at + "deadline_us"),
+        worth=parse_float(pairs, at + "worth", 1.0),
+        late_worth=parse_float(pairs, at + "late_worth", 0.0),
+        key_window_us=parse_int(pairs, at + "dedup_window_us", 0),
+        key_scope_is_zone=pairs.get(at + "key_scope", "all") != "all",
+        ordered_by_key=parse_bool(pairs, at + "by_arrival"),
     )
 
 
-def settings_of(pairs: Fields) -> api.Settings:
+def parse_settings(pairs: Fields) -> api.Settings:
     """The settings of one relay; names that are not known here are left aside."""
-    apart, batch = listed(pairs, "domain.kind_apart"), numbers(pairs, "domain.batch_by_kind")
+    apart, batch = split_list(pairs, "domain.kind_apart"), parse_float_list(pairs, "domain.batch_by_kind")
     kinds = tuple(
-        api.Kind(name, apart[at : at + 1] == ["true"], int(batch[at]) if at < len(batch) else 1)
-        for at, name in enumerate(listed(pairs, "machine_types"))
+        api.DestinationKind(name, apart[at : at + 1] == ["true"], int(batch[at]) if at < len(batch) else 1)
+        for at, name in enumerate(split_list(pairs, "machine_types"))
     )
     tenants = tuple(
-        api.Tenant(need(pairs, f"accounts.{at}.name"), real(pairs, f"accounts.{at}.quota_per_s", 0.0))
-        for at in range(whole(pairs, "accounts.count", 0))
+        api.Tenant(
+            required_value(pairs, f"accounts.{at}.name"),
+            parse_float(pairs, f"accounts.{at}.quota_per_s", 0.0),
+        )
+        for at in range(parse_int(pairs, "accounts.count", 0))
     )
-    classes = tuple(class_of(pairs, at) for at in range(whole(pairs, "request_classes.count")))
-    fees = zip(listed(pairs, "zones"), numbers(pairs, "domain.toll"), strict=False)
+    classes = tuple(parse_message_class(pairs, at) for at in range(parse_int(pairs, "request_classes.count")))
+    fees = zip(split_list(pairs, "zones"), parse_float_list(pairs, "domain.toll"), strict=False)
     weights = pairs.get("weights", "off")
     return api.Settings(
-        slots=whole(pairs, "domain.calls_out"),
+        slots=parse_int(pairs, "domain.calls_out"),
         classes=classes,
         kinds=kinds,
         tenants=tenants,
         zone_fees=dict(fees),
-        group_size=whole(pairs, "group_size", 1),
-        number=whole(pairs, "my_number", 0),
-        hold_cap=whole(pairs, "allowed.open_cap"),
-        max_attempts=whole(pairs, "allowed.most_tries"),
-        round_us=whole(pairs, "round_us"),
-        keepalive_us=whole(pairs, "allowed.keepalive_us", 60_000_000),
-        may_duplicate=flag(pairs, "allowed.may_duplicate"),
-        may_cancel=flag(pairs, "allowed.cancel"),
-        may_probe=flag(pairs, "allowed.probes"),
-        advise_retry=flag(pairs, "allowed.retry_after"),
-        max_retry_after_us=whole(pairs, "allowed.max_retry_after_us", 0),
+        group_size=parse_int(pairs, "group_size", 1),
+        number=parse_int(pairs, "my_number", 0),
+        hold_cap=parse_int(pairs, "allowed.open_cap"),
+        max_attempts=parse_int(pairs, "allowed.most_tries"),
+        round_us=parse_int(pairs, "round_us"),
+        keepalive_us=parse_int(pairs, "allowed.keepalive_us", 60_000_000),
+        may_duplicate=parse_bool(pairs, "allowed.may_duplicate"),
+        may_cancel=parse_bool(pairs, "allowed.cancel"),
+        may_probe=parse_bool(pairs, "allowed.probes"),
+        advise_retry=parse_bool(pairs, "allowed.retry_after"),
+        max_retry_after_us=parse_int(pairs, "allowed.max_retry_after_us", 0),
         must_ask=pairs.get("discovery", "push") == "ask",
-        pushed=pairs.get("discovery", "push") == "push",
-        ask_within_us=whole(pairs, "rules.ask_within_us", 0),
-        rates_told=weights in ("nominal", "rough"),
-        rates_rough=weights == "rough",
-        halves=pairs.get("domain.decay", "line") == "halves",
-        over_share_worth=real(pairs, "over_share_worth", 1.0),
-        drain_grace_us=whole(pairs, "rules.drain_grace_us"),
-        fall_multiple=real(pairs, "rules.fall_multiple", 1.0),
-        fall_us=whole(pairs, "rules.fall_us"),
-        cold_from=real(pairs, "rules.cold_from", 1.0),
-        warm_within_us=whole(pairs, "rules.warm_within_us"),
-        answer_slack_us=whole(pairs, "rules.grace_to_answer_us", 0),
-        order_pause_us=whole(pairs, "rules.order_pause_us", 0),
+        list_pushed=pairs.get("discovery", "push") == "push",
+        ask_within_us=parse_int(pairs, "rules.ask_within_us", 0),
+        rate_hints_given=weights in ("nominal", "rough"),
+        rate_hints_rough=weights == "rough",
+        late_worth_halves=pairs.get("domain.decay", "line") == "halves",
+        over_share_worth=parse_float(pairs, "over_share_worth", 1.0),
+        drain_grace_us=parse_int(pairs, "rules.drain_grace_us"),
+        fall_multiple=parse_float(pairs, "rules.fall_multiple", 1.0),
+        fall_us=parse_int(pairs, "rules.fall_us"),
+        cold_from=parse_float(pairs, "rules.cold_from", 1.0),
+        warm_within_us=parse_int(pairs, "rules.warm_within_us"),
+        answer_slack_us=parse_int(pairs, "rules.grace_to_answer_us", 0),
+        order_pause_us=parse_int(pairs, "rules.order_pause_us", 0),
     )
 
 
-def entry_of(pairs: Fields) -> api.Entry:
+def parse_entry(pairs: Fields) -> api.Entry:
     """One line of a host list."""
     return api.Entry(
-        host=need(pairs, "host"),
-        dest=whole(pairs, "dest"),
+        host=required_value(pairs, "host"),
+        dest=parse_int(pairs, "dest"),
         zone=pairs.get("campus", ""),
         kind=pairs.get("hw", ""),
-        listing=known(LISTINGS, pairs, "health"),
-        rate_hint=real(pairs, "power_hint", 1.0),
+        listing=parse_choice(LISTINGS, pairs, "health"),
+        rate_hint=parse_float(pairs, "power_hint", 1.0),
     )
 
 
-def reports_of(pairs: Fields) -> dict[str, float]:
+def parse_load_report(pairs: Fields) -> dict[str, float]:
     """The values of a load report; those that cannot be read are left out as unknown."""
     report: dict[str, float] = {}
-    for part in listed(pairs, "pressure"):
+    for part in split_list(pairs, "pressure"):
         name, _, value = part.partition(":")
         try:
             report[name] = float(value)
@@ -202,71 +205,71 @@
     return report
 
 
-def arrival_of(pairs: Fields) -> api.Arrival:
+def parse_arrival(pairs: Fields) -> api.Arrival:
     """A message handed in."""
     return api.Arrival(
-        id=need(pairs, "xid"),
-        dest=whole(pairs, "terminates_at"),
-        cls=need(pairs, "tier_class"),
-        left_us=whole(pairs, "grace_us"),
+        id=required_value(pairs, "xid"),
+        dest=parse_int(pairs, "terminates_at"),
+        cls=required_value(pairs, "tier_class"),
+        time_left_us=parse_int(pairs, "grace_us"),
         tenant=pairs.get("account", ""),
         key=pairs.get("affinity", ""),
     )
 
 
-def outcome_of(pairs: Fields) -> api.Outcome:
+def parse_outcome(pairs: Fields) -> api.Outcome:
     """The end of an attempt; the note of a refusal is its wait in milliseconds."""
-    verdict, report = known(VERDICTS, pairs, "verdict"), reports_of(pairs)
-    wait_ms = whole(pairs, "detail", 0) if verdict is api.Verdict.FULL else 0
+    verdict, report = parse_choice(VERDICTS, pairs, "verdict"), parse_load_report(pairs)
+    wait_ms = parse_int(pairs, "detail", 0) if verdict is api.Verdict.FULL else 0
     return api.Outcome(
-        id=need(pairs, "xid"),
-        attempt=whole(pairs, "trial"),
-        host=need(pairs, "host"),
+        id=required_value(pairs, "xid"),
+        attempt=parse_int(pairs, "trial"),
+        host=required_value(pairs, "host"),
         verdict=verdict,
-        elapsed_us=whole(pairs, "elapsed_us", 0),
-        complete=flag(pairs, "complete"),
+        elapsed_us=parse_int(pairs, "elapsed_us", 0),
+        complete=parse_bool(pairs, "complete"),
         wait_us=wait_ms * 1000,
-        limit_left=report.get("x0"),
+        limit_share_left=report.get("x0"),
         limit_per_s=report.get("x1"),
     )
 
 
-def probe_result_of(pairs: Fields) -> api.ProbeResult:
+def parse_probe_result(pairs: Fields) -> api.ProbeResult:
     """The end of a probe."""
-    report = reports_of(pairs)
+    report = parse_load_report(pairs)
     return api.ProbeResult(
-        host=need(pairs, "host"),
-        verdict=known(VERDICTS, pairs, "verdict"),
-        elapsed_us=whole(pairs, "elapsed_us", 0),
-        limit_left=report.get("x0"),
+        host=required_value(pairs, "host"),
+        verdict=parse_choice(VERDICTS, pairs, "verdict"),
+        elapsed_us=parse_int(pairs, "elapsed_us", 0),
+        limit_share_left=report.get("x0"),
         limit_per_s=report.get("x1"),
     )
 
 
-def timer_of(_pairs: Fields) -> api.TimerDue:
+def parse_timer(_pairs: Fields) -> api.TimerDue:
     """A wake-up; its label carries nothing."""
     return api.TimerDue()
 
 
-def withdrawn_of(pairs: Fields) -> api.Withdrawn:
+def parse_withdrawn(pairs: Fields) -> api.Withdrawn:
     """A message that nobody wants any more."""
-    return api.Withdrawn(need(pairs, "xid"))
+    return api.Withdrawn(required_value(pairs, "xid"))
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
-    "new_request": arrival_of,
-    "report_back": outcome_of,
-    "check_result": probe_result_of,
-    "tick_due": timer_of,
-    "aborted": withdrawn_of,
+EVENT_PARSERS: dict[str, Callable[[Fields], api.Event]] = {
+    "new_request": parse_arrival,
+    "report_back": parse_outcome,
+    "check_result": parse_probe_result,
+    "tick_due": parse_timer,
+    "aborted": parse_withdrawn,
 }
-UNUSED = ("established", "note_from")
+IGNORED_MESSAGES = ("established", "note_from")
 
 
-def written(who: str, action: api.Action) -> str:
+def format_action(who: str, action: api.Action) -> str:
     """One action as a line of the wire."""
     match action:
-        case api.Send(id=xid, host=host, limit_us=limit):
+        case api.Send(id=xid, host=host, timeout_us=limit):
             return f"try who={who} xid={xid} host={host} limit_us={limit}"
         case api.Refuse(id=xid, retry_after_us=after):
             return f"bounce who={who} xid={xid} hold_off_us={after}"
@@ -286,89 +289,89 @@
             return f"log who={who} line={line}"
 
 
-class Wire:
+class FrameServer:
     """One process's conversation: the relays it hosts and the batch being read."""
 
     def __init__(self, lines: Iterator[str], out: IO[str]) -> None:
         """Read frames from ``lines`` and write replies to ``out``."""
-        self._lines, self._out, self._number = lines, out, 0
+        self._lines, self._out, self._line_number = lines, out, 0
         self._relays: dict[str, Relay] = {}
         self._tables: dict[int, tuple[api.Entry, ...]] = {}
         self._events: dict[str, list[api.Event]] = {}
 
     @property
-    def number(self) -> int:
+    def line_number(self) -> int:
         """The number of the line read last."""
-        return self._number
+        return self._line_number
 
-    def _next(self) -> str | None:
+    def _next_line(self) -> str | None:
         """The next line without its end, or None at the end of input."""
         line = next(self._lines, None)
         if line is None:
             return None
-        self._number += 1
+        self._line_number += 1
         return line.rstrip("\r\n")
 
-    def _table(self, pairs: Fields) -> None:
+    def _read_table(self, pairs: Fields) -> None:
         """Read a numbered host list and the lines that belong to it."""
-        ref, entries = whole(pairs, "ref"), []
-        if not 0 <= ref <= LAST_TABLE:
-            raise BadLineError(f"ref out of range: {ref}")
-        for _ in range(whole(pairs, "hosts")):
-            line = self._next()
+        ref, entries = parse_int(pairs, "ref"), []
+        if not 0 <= ref <= MAX_TABLE_REF:
+            raise MalformedLineError(f"ref out of range: {ref}")
+        for _ in range(parse_int(pairs, "hosts")):
+            line = self._next_line()
             name, _, rest = (line or "").partition(" ")
             if name != "host":
-                raise BadLineError("a host line is missing")
-            entries.append(entry_of(fields_of(rest)))
+                raise MalformedLineError("a host line is missing")
+            entries.append(parse_entry(parse_fields(rest)))
         self._tables[ref] = tuple(entries)
 
-    def _roster(self, pairs: Fields) -> api.Roster:
+    def _parse_endpoint_update(self, pairs: Fields) -> api.EndpointUpdate:
         """News of the list, with the table it names as it stands at this line."""
-        kind = known(FORMS, pairs, "form")
-        if kind is api.RosterKind.FAILED:
-            return api.Roster(kind)
-        ref = whole(pairs, "ref", 0)
+        kind = parse_choice(UPDATE_KINDS, pairs, "form")
+        if kind is api.EndpointUpdateKind.FAILED:
+            return api.EndpointUpdate(kind)
+        ref = parse_int(pairs, "ref", 0)
         if ref not in self._tables:
-            raise BadLineError(f"no table {ref}")
-        return api.Roster(kind, self._tables[ref])
+            raise MalformedLineError(f"no table {ref}")
+        return api.EndpointUpdate(kind, self._tables[ref])
 
-    def _init(self, rest: str) -> str:
+    def _start_relay(self, rest: str) -> str:
         """Start a relay afresh; its settings fill the rest of the line."""
-        pairs = fields_of(rest)
-        who, seed = need(pairs, "who"), whole(pairs, "init_seed")
+        pairs = parse_fields(rest)
+        who, seed = required_value(pairs, "who"), parse_int(pairs, "init_seed")
         try:
-            self._relays[who] = Relay(settings_of(pairs), seed)
-        except BadLineError:
+            self._relays[who] = Relay(parse_settings(pairs), seed)
+        except MalformedLineError:
             raise
         except ValueError as error:
-            raise BadLineError(str(error)) from None
+            raise MalformedLineError(str(error)) from None
         self._events[who] = []
         return who
 
-    def _event(self, line: str) -> None:
+    def _read_event(self, line: str) -> None:
         """Take in one line of a batch."""
         name, _, rest = line.partition(" ")
         if name == "init":
-            self._init(rest)
+            self._start_relay(rest)
             return
-        pairs = fields_of(rest)
+        pairs = parse_fields(rest)
         if name == "table":
-            self._table(pairs)
+            self._read_table(pairs)
             return
-        if name not in READERS and name not in (*UNUSED, "roster_change", "shutdown"):
-            raise BadLineError(f"unknown message: {name!r}")
-        who = need(pairs, "who")
+        if name not in EVENT_PARSERS and name not in (*IGNORED_MESSAGES, "roster_change", "shutdown"):
+            raise MalformedLineError(f"unknown message: {name!r}")
+        who = required_value(pairs, "who")
         if name == "shutdown":
             self._relays.pop(who, None)
             self._events.pop(who, None)
             return
         batch = self._events.setdefault(who, [])
         if name == "roster_change":
-            batch.append(self._roster(pairs))
-        elif name in READERS:
-            batch.append(READERS[name](pairs))
+            batch.append(self._parse_endpoint_update(pairs))
+        elif name in EVENT_PARSERS:
+            batch.append(EVENT_PARSERS[name](pairs))
 
-    def _reply(self, now_us: int) -> None:
+    def _write_reply(self, now_us: int) -> None:
         """Let every relay that had an event act, in order of their first events."""
         lines: list[str] = []
         for who, events in self._events.items():
@@ -376,41 +379,41 @@
             if relay is None:
                 continue
             try:
-                lines += [written(who, action) for action in relay.step(now_us, events)]
+                lines += [format_action(who, action) for action in relay.step(now_us, events)]
             except Exception as error:  # the wire wants it told
                 text = " ".join(f"{type(error).__name__}: {error}".split())
                 lines.append(f"die who={who} line={text}")
         self._out.write("".join(f"{line}\n" for line in (*lines, "ok")))
         self._out.flush()
 
-    def frame(self) -> bool:
+    def serve_frame(self) -> bool:
         """Read one batch and answer it; False at the end of input."""
-        line = self._next()
+        line = self._next_line()
         if line is None:
             return False
         if not line:
             return True
         name, _, rest = line.partition(" ")
         if name != "frame":
-            raise BadLineError(f"expected a frame, got {name!r}")
-        now_us = whole(fields_of(rest), "at_time_us")
+            raise MalformedLineError(f"expected a frame, got {name!r}")
+        now_us = parse_int(parse_fields(rest), "at_time_us")
         self._events = {}
-        while (line := self._next()) != "commit":
+        while (line := self._next_line()) != "commit":
             if line is None:
-                raise BadLineError("frame without commit")
-            self._event(line)
-        self._reply(now_us)
+                raise MalformedLineError("frame without commit")
+            self._read_event(line)
+        self._write_reply(now_us)
         return True
 
 
 def main() -> int:
     """Serve standard input until its end; 2 after a line that cannot be read."""
-    wire = Wire(iter(sys.stdin), sys.stdout)
+    wire = FrameServer(iter(sys.stdin), sys.stdout)
     try:
-        while wire.frame():
+        while wire.serve_frame():
             pass
-    except BadLineError as error:
-        print(f"line {wire.number}: {error}", file=sys.stderr)
+    except MalformedLineError as error:
+        print(f"line {wire.line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -101,7 +101,7 @@
         """Wait for the whole list; the seconds that it took, None where it did not come within the bound."""
         begun_s = time.monotonic()
         while (spent_s := time.monotonic() - begun_s) < PATIENCE_S:
-            if self.module.entries_taken >= size and self.module.known == size:
+            if self.module.entries_taken >= size and self.module.listed_count == size:
                 return spent_s
             await asyncio.sleep(LOOK_S)
         return None
@@ -133,7 +133,7 @@
         driver.start()
         seconds = await driver.until_known(size)
         return Intake(
-            known=driver.module.known,
+            known=driver.module.listed_count,
             seconds=seconds,
             entries_handed=driver.module.entries_taken,
             most_entries_in_one_step=driver.module.most_entries_in_one_step,
--- a/fleetlab/scale/simulated_module.py
+++ b/fleetlab/scale/simulated_module.py
@@ -13,12 +13,12 @@
 from decisions.interface import (
     Action,
     Arrival,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
     Fail,
     Outcome,
     Refuse,
-    Roster,
-    RosterKind,
     Send,
     TimerDue,
     Verdict,
@@ -37,14 +37,14 @@
 
     report_s = forget_s = 0.0  # of the latest one
 
-    def _report(self) -> None:
+    def _log_held(self) -> None:
         begun_s = processor_seconds()
-        super()._report()
+        super()._log_held()
         self.report_s = processor_seconds() - begun_s
 
-    def _forget(self) -> None:
+    def _forget_stale(self) -> None:
         begun_s = processor_seconds()
-        super()._forget()
+        super()._forget_stale()
         self.forget_s = processor_seconds() - begun_s
 
 
@@ -59,7 +59,7 @@
         self.down = {host_of(number) for number in range(DOWN)}
         self._coming: list[tuple[int, int, Outcome]] = []  # heap: what calls will end in
         self._calls = 0
-        self.step([Roster(RosterKind.WHOLE, entries(destinations))])
+        self.step([EndpointUpdate(EndpointUpdateKind.WHOLE, entries(destinations))])
 
     @property
     def next_us(self) -> int:
@@ -100,12 +100,12 @@
 
     def wait_for_status(self) -> None:
         """Let time pass until the next step is one that reports and forgets."""
-        while self.now_us + STEP_US < self.relay.status_us:
+        while self.now_us + STEP_US < self.relay.next_status_us:
             self.advance(STEP_US)
 
     def fill_up(self) -> None:
         """From now on the relay may hold one message more than it does: the next one is the last."""
-        self.relay.set = replace(self.relay.set, hold_cap=self.relay.open + 1)
+        self.relay.settings = replace(self.relay.settings, hold_cap=self.relay.open_messages + 1)
 
     def _carry_out(self, actions: Sequence[Action]) -> None:
         for action in actions:
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -178,7 +178,7 @@
     status_lines = lines_run(lambda: module.advance(STEP_US))
     module.wait_for_status()
     module.advance(STEP_US)
-    open_messages = module.relay.open
+    open_messages = module.relay.open_messages
     full_s, given_up = full_step(module, random)
     recovery = recover(module)
     begun_s = processor_seconds()
--- a/fleetlab/scale/subjects/destinations.py
+++ b/fleetlab/scale/subjects/destinations.py
@@ -143,8 +143,8 @@
         looks.destinations += destinations.looks
         looks.most_in_step = max(looks.most_in_step, endpoints.looks + destinations.looks)
         endpoints.looks = destinations.looks = 0
-        looks.most_to_look_at = max(looks.most_to_look_at, len(relay.module.look))
-        looks.most_due = max(looks.most_due, len(relay.module.due))
+        looks.most_to_look_at = max(looks.most_to_look_at, len(relay.module.dests_to_check))
+        looks.most_due = max(looks.most_due, len(relay.module.check_heap))
 
     relay.on_step = add
 
--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from decisions.engine import Relay
-from decisions.interface import Effect, MessageClass, Roster, RosterKind, Settings
+from decisions.interface import Effect, EndpointUpdate, EndpointUpdateKind, MessageClass, Settings
 from fleetlab.scale import endpoints
 from fleetlab.scale.list_loading import GROUP, Intake, ProcessIntake, driver_intake, process_intake
 from fleetlab.scale.process import processor_seconds
@@ -68,12 +68,12 @@
     news = read_list(json.loads(line))
     read_s = processor_seconds() - begun_s
     begun_s = processor_seconds()
-    relay.step(0, [Roster(RosterKind.WHOLE, tuple(listed.entry for listed in news.hosts))])
+    relay.step(0, [EndpointUpdate(EndpointUpdateKind.WHOLE, tuple(listed.entry for listed in news.hosts))])
     step_s = processor_seconds() - begun_s
     return [
         Reading("whole_list_bytes", float(len(line))),
         Reading("fits_one_line", float(len(line) <= most_line_bytes(endpoints.RELAY_MEMORY_BYTES))),
-        Reading("endpoints_known", float(relay.known)),
+        Reading("endpoints_known", float(relay.listed_count)),
         timed("read_processor_seconds", read_s),
         timed("longest_step_processor_seconds", step_s),
     ]
--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -20,6 +20,8 @@
     Arrival,
     Cancel,
     Effect,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Entry,
     Event,
     Fail,
@@ -27,8 +29,6 @@
     MessageClass,
     Outcome,
     Refuse,
-    Roster,
-    RosterKind,
     Send,
     TimerDue,
     Verdict,
@@ -42,7 +42,7 @@
 USUAL_US = 180_000  # us of answers: the median; 204 ms on average
 SPREAD = 0.5  # of answers: the deviation of the logarithm
 STATUS = MessageClass("status", Effect.SAFE, 1_500_000, 6_000_000)
-ORDER = MessageClass("order", Effect.KEYED, 3_000_000, 16_000_000, 2.0, 0.5, window_us=15_000_000)
+ORDER = MessageClass("order", Effect.KEYED, 3_000_000, 16_000_000, 2.0, 0.5, key_window_us=15_000_000)
 PAYMENT = MessageClass("payment", Effect.UNSAFE, 2_000_000, 28_000_000, 4.0, 0.3)
 CLASSES, PARTS = (STATUS, ORDER, PAYMENT), (6, 3, 1)  # and in which parts messages come
 
@@ -151,7 +151,9 @@
 
     def load(self, entries: tuple[Entry, ...]) -> None:
         """Take in the whole list at once."""
-        self._carry_out(self.module.step(self._simulation.now_us, [Roster(RosterKind.WHOLE, entries)]))
+        self._carry_out(
+            self.module.step(self._simulation.now_us, [EndpointUpdate(EndpointUpdateKind.WHOLE, entries)])
+        )
 
     def take(self, name: str, entry: Entry, cls: MessageClass) -> None:
         """Take in a message."""
@@ -186,7 +188,7 @@
 
     def _step(self) -> None:
         now_us = self._simulation.now_us
-        self._scheduled, self._next_us = False, now_us + self.module.set.round_us
+        self._scheduled, self._next_us = False, now_us + self.module.settings.round_us
         events, self._inbox = self._inbox, []
         begun_s = processor_seconds()
         actions = self.module.step(now_us, events)
@@ -221,7 +223,7 @@
             self.counts.wasted_calls += 1
             self._wasted_out += 1
             self.counts.most_wasted = max(self.counts.most_wasted, self._wasted_out)
-        answer = self._destinations.answer(send.host, now_us, send.limit_us)
+        answer = self._destinations.answer(send.host, now_us, send.timeout_us)
         end_us = now_us + answer.took_us
         self._simulation.at(end_us, lambda: self._ended(send.id, attempt, send.host, answer.verdict))
 
--- a/fleetlab/scale/watching.py
+++ b/fleetlab/scale/watching.py
@@ -13,14 +13,16 @@
 
 import msgspec
 
-from decisions.engine import ASK_US
+from decisions.engine import MIN_ASK_GAP_US
 from fleetlab.scale.child import Child, carry_out
 from fleetlab.scale.endpoints import RELAY_MEMORY_BYTES
 from relay.discovery import Watch, most_line_bytes
 from relay.endpoint_list import HostList
 from relay.http import Address
 
-ASK_S = ASK_US / 1e6  # s before a broken watch is asked for again: the module's first gap, without its draw
+ASK_S = (
+    MIN_ASK_GAP_US / 1e6
+)  # s before a broken watch is asked for again: the module's first gap, without its draw
 AT_ONCE = 10  # watchers that come up together at the start
 LOOK_S = 0.01  # s between looks whether they are up
 LOOPBACK = "127.0.0.1"
--- a/relay/config.py
+++ b/relay/config.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 
 from decisions.interface import Settings
-from decisions.simulator_adapter import settings_of, whole
+from decisions.simulator_adapter import parse_int, parse_settings
 from relay.endpoint_list import HostList, read_list
 from relay.http import Address
 
@@ -122,8 +122,8 @@
             state=Path(environ["ROUTER_STATE"]),
             seed=named("seed", seed_of, raw.get("seed", 0)),
             # On sockets the directory answers only when asked, whatever the simulator's site says.
-            settings=replace(settings_of(pairs), must_ask=True),
-            connect_timeout_us=whole(pairs, "allowed.connect_timeout_us", 1_000_000),
+            settings=replace(parse_settings(pairs), must_ask=True),
+            connect_timeout_us=parse_int(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(limit_of(limits, "disk_mb", 3, 0.01) * 1_000_000),
             sockets=int(limit_of(limits, "sockets", 1024, LEAST_SOCKETS)),
             memory_bytes=int(limit_of(limits, "memory_mb", LEAST_MEMORY_MB, 1) * 1_000_000),
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -182,7 +182,7 @@
     def start(self) -> None:
         """Take up what the last life left, then follow the list; called before clients are answered."""
         self._notices.start()
-        self._listed(self._known, api.RosterKind.CACHED)
+        self._listed(self._known, api.EndpointUpdateKind.CACHED)
         self._take_up()
 
     def _take_up(self, known: Set[str] = frozenset()) -> None:
@@ -277,8 +277,8 @@
             tuple(cls.name for cls in self._set.classes),
             Counts(self._ended, self._hosts.written),
             len(self._held),
-            self._module.known,
-            self._module.excluded,
+            self._module.listed_count,
+            self._module.excluded_count,
         )
 
     @property
@@ -376,11 +376,11 @@
             former |= {"risky_age_us": max(0, now_us - first.at_us), "risky_zone": first.zone}
         self._inbox.append(self._arrival(handed, now_us, **former))
 
-    def _listed(self, news: HostList, kind: api.RosterKind | None = None) -> None:
+    def _listed(self, news: HostList, kind: api.EndpointUpdateKind | None = None) -> None:
         """News of the list binds calls at once and the module with its next step."""
         self._hosts.apply(news)
-        kind = kind or (api.RosterKind.WHOLE if news.whole else api.RosterKind.CHANGES)
-        self._post(api.Roster(kind, tuple(listed.entry for listed in news.hosts)))
+        kind = kind or (api.EndpointUpdateKind.WHOLE if news.whole else api.EndpointUpdateKind.CHANGES)
+        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.hosts)))
 
     async def _listed_in_pieces(self, news: HostList) -> None:
         """Long news as bounded changes, each one in force before the next, while all else goes on.
@@ -392,7 +392,7 @@
         for number, piece in enumerate(pieces(changes, PIECE)):
             self._hosts.apply(HostList(news.seq, False, piece))
             entries = tuple(listed.entry for listed in piece)
-            self._post(api.Roster(api.RosterKind.CHANGES, entries, continued=number > 0))
+            self._post(api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, continued=number > 0))
             await self._next_step()
         LOG.info("discovery: version %d is in force, %d changes", news.seq, len(changes))
 
@@ -403,7 +403,7 @@
         await stepped
 
     def _unlisted(self) -> None:
-        self._post(api.Roster(api.RosterKind.FAILED))
+        self._post(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
 
     def _confirmed(self, ref: str) -> None:
         self._journal.over(ref)
@@ -559,11 +559,11 @@
         held = self._held[send.id]
         number, held.attempts = held.attempts, held.attempts + 1
         left_us = held.handed.deadline_us - now_us
-        part = Part(send.id, number, held.handed.key, held.body, send.limit_us, left_us)
-        if send.begin_us:
-            part.begin_by_s = (self._step_us - self.clock.offset_us + send.begin_us) / 1e6
+        part = Part(send.id, number, held.handed.key, held.body, send.timeout_us, left_us)
+        if send.latest_begin_us:
+            part.begin_by_s = (self._step_us - self.clock.offset_us + send.latest_begin_us) / 1e6
         return part
 
     def _can_end(self, send: api.Send) -> bool:
         """Whether the process lasts as long as the call may; else the journal keeps it for the next life."""
-        return self._stop_s is None or self._loop.time() + send.limit_us / 1e6 <= self._stop_s
+        return self._stop_s is None or self._loop.time() + send.timeout_us / 1e6 <= self._stop_s
--- a/relay/endpoint_calls.py
+++ b/relay/endpoint_calls.py
@@ -17,7 +17,7 @@
 from itertools import islice
 from typing import Any
 
-from decisions.interface import Kind, Listing, Verdict
+from decisions.interface import DestinationKind, Listing, Verdict
 from relay.answers import (
     DELIVERED,
     ENDS,
@@ -55,7 +55,12 @@
     """The hosts that the list names, the calls out to them, and connections kept between calls."""
 
     def __init__(
-        self, kinds: Iterable[Kind], keepalive_us: int, connect_us: int, most_idle: int, settled: Settled
+        self,
+        kinds: Iterable[DestinationKind],
+        keepalive_us: int,
+        connect_us: int,
+        most_idle: int,
+        settled: Settled,
     ) -> None:
         # Kept, as whoever asks for the running loop asks the system for the process each time.
         self._loop = asyncio.get_running_loop()
@@ -115,16 +120,16 @@
     def _route(self, host: str) -> str:
         """What shares waits with a host: its destination, unless its kind's endpoints are routes apart."""
         listed = self.listed.get(host)
-        apart = listed is None or self._kind(listed).apart
+        apart = listed is None or self._kind(listed).limit_per_endpoint
         return host if listed is None or apart else f"dest {listed.entry.dest}"
 
-    def _kind(self, listed: Listed) -> Kind:
-        return self._kinds.get(listed.entry.kind, Kind(listed.entry.kind))
+    def _kind(self, listed: Listed) -> DestinationKind:
+        return self._kinds.get(listed.entry.kind, DestinationKind(listed.entry.kind))
 
     def batch(self, host: str) -> int:
         """How many messages a call to the host may carry."""
         listed = self.listed.get(host)
-        return 1 if listed is None else self._kind(listed).batch
+        return 1 if listed is None else self._kind(listed).batch_size
 
     @property
     def waits(self) -> dict[str, float]:
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -48,8 +48,8 @@
         """Start a relay under audit."""
         self.settings, self.relay, self.now_us = settings, Relay(settings, seed), 0
         self.classes = {cls.name: cls for cls in settings.classes}
-        self.apart = {kind.name: kind.apart for kind in settings.kinds}
-        self.batch = {kind.name: kind.batch for kind in settings.kinds}
+        self.apart = {kind.name: kind.limit_per_endpoint for kind in settings.kinds}
+        self.batch = {kind.name: kind.batch_size for kind in settings.kinds}
         self.cases: dict[str, Case] = {}
         self.entries: dict[str, api.Entry] = {}
         self.listed: dict[str, tuple[api.Listing, int]] = {}
@@ -82,9 +82,9 @@
         return actions
 
     def _told(self, event: api.Event) -> None:
-        if isinstance(event, api.Roster) and event.kind is not api.RosterKind.FAILED:
+        if isinstance(event, api.EndpointUpdate) and event.kind is not api.EndpointUpdateKind.FAILED:
             named = {entry.host for entry in event.entries}
-            if event.kind is not api.RosterKind.CHANGES:
+            if event.kind is not api.EndpointUpdateKind.CHANGES:
                 for host in self.listed:
                     if host not in named and self.listed[host][0] is not api.Listing.GONE:
                         self.listed[host] = (api.Listing.GONE, self.now_us)
@@ -94,7 +94,7 @@
                     self.listed[entry.host] = (entry.listing, self.now_us)
         elif isinstance(event, api.Arrival):
             self.cases[event.id] = Case(
-                event, self.classes[event.cls], self.now_us + event.left_us, len(self.cases)
+                event, self.classes[event.cls], self.now_us + event.time_left_us, len(self.cases)
             )
         elif isinstance(event, api.Withdrawn) and event.id in self.cases:
             self.cases[event.id].over = True
@@ -111,7 +111,7 @@
             name = self.route(event.host)
             self.waits[name] = max(self.waits.get(name, 0), self.now_us + event.wait_us)
         unsettled = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED)
-        if case.cls.in_order and case.event.key and event.verdict in unsettled:
+        if case.cls.ordered_by_key and case.event.key and event.verdict in unsettled:
             self.rests[case.event.key] = self.now_us + self.settings.order_pause_us
 
     def _did(self, action: api.Action, fresh: dict[str, list[Attempt]]) -> None:
@@ -122,7 +122,7 @@
             assert not case.over, f"answered twice: {action.id}"
             case.over, case.answers = True, case.answers + 1
             if isinstance(action, api.Refuse) and case.risky():
-                keyed_all = case.cls.effect is api.Effect.KEYED and not case.cls.scope_is_zone
+                keyed_all = case.cls.effect is api.Effect.KEYED and not case.cls.key_scope_is_zone
                 assert case.cls.effect is api.Effect.SAFE or keyed_all, "refused what may have run"
         elif isinstance(action, api.Cancel):
             assert self.settings.may_cancel, "cancel is not allowed here"
@@ -139,15 +139,15 @@
         assert not case.over, f"sent after its end: {action.id}"
         assert entry.dest == case.event.dest, "sent to another destination"
         assert len(case.attempts) < self.settings.max_attempts, "too many attempts"
-        assert 0 < action.limit_us <= case.deadline_us - self.now_us, "time-out past the message's time"
+        assert 0 < action.timeout_us <= case.deadline_us - self.now_us, "time-out past the message's time"
         if not self.settings.may_duplicate:
             assert not any(a.open for a in case.attempts), "two attempts side by side"
         risky = case.risky()
         if risky and cls.effect is api.Effect.UNSAFE:
             raise AssertionError("double effect: an unsafe message sent again")
         if risky and cls.effect is api.Effect.KEYED:
-            assert self.now_us - min(a.sent_us for a in risky) <= cls.window_us, "double effect: too late"
-            if cls.scope_is_zone:
+            assert self.now_us - min(a.sent_us for a in risky) <= cls.key_window_us, "double effect: too late"
+            if cls.key_scope_is_zone:
                 zones = {self.entries[a.host].zone for a in risky}
                 assert zones == {entry.zone}, "double effect: outside the key's zone"
         listing, since_us = self.listed[action.host]
@@ -155,7 +155,7 @@
             assert self.now_us <= since_us + self.settings.drain_grace_us, "drain: sent past the grace"
         assert self.now_us >= self.waits.get(self.route(action.host), 0), "wait: sent before its end"
         self._turn(case)
-        attempt = Attempt(action.host, self.now_us, self.now_us + action.limit_us)
+        attempt = Attempt(action.host, self.now_us, self.now_us + action.timeout_us)
         case.attempts.append(attempt)
         parts = fresh.get(action.host)
         if parts is None or len(parts) >= self.batch.get(entry.kind, 1):
@@ -165,10 +165,10 @@
 
     def _turn(self, case: Case) -> None:
         key = case.event.key
-        if not (case.cls.in_order and key):
+        if not (case.cls.ordered_by_key and key):
             return
         for other in self.cases.values():
-            if other.number < case.number and other.cls.in_order and other.event.key == key:
+            if other.number < case.number and other.cls.ordered_by_key and other.event.key == key:
                 assert other.over, "order: an earlier message is unfinished"
                 assert not any(a.open for a in other.attempts), "order: an earlier attempt is out"
         if not case.attempts:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -78,7 +78,7 @@
     def play(self, seconds: int = 30) -> Peak:
         """The whole day, and its worst window."""
         for number in range(self.day.size):
-            self._step(number, api.Roster(api.RosterKind.CACHED, ENTRIES))
+            self._step(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, ENTRIES))
             self._next_message(number)
         for _ in range(self.day.restarts):
             at_us = BACK_US - 2 * SECOND + int(self.rng.random() * 6 * SECOND)
@@ -131,15 +131,15 @@
         self.lives[number] += 1
         self.knew.discard(number)
         self._relays[number], self._attempts[number] = self._relay(number), {}
-        self._step(number, api.Roster(api.RosterKind.CACHED, ENTRIES))
+        self._step(number, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, ENTRIES))
 
     def _call(self, number: int, send: api.Send) -> None:
         attempt = self._attempts[number].get(send.id, 0)
         self._attempts[number][send.id] = attempt + 1
         down = DOWN_US <= self.now < BACK_US
         verdict, took_us = self._gone(send) if down else self._served(number)
-        if took_us > send.limit_us:
-            verdict, took_us = api.Verdict.TIMEOUT, send.limit_us
+        if took_us > send.timeout_us:
+            verdict, took_us = api.Verdict.TIMEOUT, send.timeout_us
         self._at(self.now + took_us, self._ended, number, self.lives[number], send, attempt, verdict, took_us)
 
     def _gone(self, send: api.Send) -> tuple[api.Verdict, int]:
@@ -153,7 +153,7 @@
             case "fail":
                 return api.Verdict.OK, 80_000
             case _:
-                return api.Verdict.TIMEOUT, send.limit_us
+                return api.Verdict.TIMEOUT, send.timeout_us
 
     def _served(self, number: int) -> tuple[api.Verdict, int]:
         if self.now >= BACK_US:
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -129,7 +129,7 @@
         some = [message(number, 0, START_US, random) for number in range(size)]
         module = HollowModule({held.handed.id: held for held in some}, 100_000, SEED, DOWN + 1)
         build_up(module, some)
-        assert module.relay.open == size
+        assert module.relay.open_messages == size
         points.append((size, statistics.median(arrival_lines(module, random) for _ in range(STEPS))))
     return points
 
--- a/tests/scale/test_destinations.py
+++ b/tests/scale/test_destinations.py
@@ -88,7 +88,7 @@
     assert (
         figures(run(play, 20, 1, counted=False), play, 20)["wasted_per_down_destination_calls"] <= most_calls
     )
-    monkeypatch.setattr(Relay, "_fail", lambda *_: None)
+    monkeypatch.setattr(Relay, "_record_failure", lambda *_: None)
     assert (
         figures(run(play, 20, 1, counted=False), play, 20)["wasted_per_down_destination_calls"] > most_calls
     )
@@ -108,7 +108,7 @@
     assert run(play, 200, 1, counted=True).looks.most_due <= 200
 
     def always(relay: Relay, _dest: Destination, number: int, at_us: int) -> None:
-        heapq.heappush(relay.due, (at_us, number))
+        heapq.heappush(relay.check_heap, (at_us, number))
 
-    monkeypatch.setattr(Relay, "_look_at", always)
+    monkeypatch.setattr(Relay, "_schedule_check", always)
     assert run(play, 200, 1, counted=True).looks.most_due > 200
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from decisions.interface import RosterKind
+from decisions.interface import EndpointUpdateKind
 from fleetlab.scale import list_loading
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.list_loading import CountingDriver, driver_intake, process_intake
@@ -30,7 +30,7 @@
 
     pieces: asyncio.Task[None] | None = None
 
-    def _listed(self, news: HostList, kind: RosterKind | None = None) -> None:
+    def _listed(self, news: HostList, kind: EndpointUpdateKind | None = None) -> None:
         self.pieces = asyncio.get_running_loop().create_task(self._hand_in(news))
 
     async def _hand_in(self, news: HostList) -> None:
@@ -44,7 +44,7 @@
 class ResendingDriver(CountingDriver):
     """Hands all entries so far to the module with each entry: a planted quadratic."""
 
-    def _listed(self, news: HostList, kind: RosterKind | None = None) -> None:
+    def _listed(self, news: HostList, kind: EndpointUpdateKind | None = None) -> None:
         for end in range(1, len(news.hosts) + 1):
             super()._listed(HostList(news.seq, False, news.hosts[:end]))
 
@@ -52,7 +52,7 @@
 class DeafDriver(CountingDriver):
     """Never hands a list in."""
 
-    def _listed(self, news: HostList, kind: RosterKind | None = None) -> None:
+    def _listed(self, news: HostList, kind: EndpointUpdateKind | None = None) -> None:
         pass
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -11,7 +11,12 @@
     "status", api.Effect.SAFE, aim_us=SECOND, deadline_us=6 * SECOND, worth=2.0, late_worth=0.1
 )
 KEYED = api.MessageClass(
-    "post", api.Effect.KEYED, aim_us=4 * SECOND, deadline_us=16 * SECOND, late_worth=0.5, window_us=4 * SECOND
+    "post",
+    api.Effect.KEYED,
+    aim_us=4 * SECOND,
+    deadline_us=16 * SECOND,
+    late_worth=0.5,
+    key_window_us=4 * SECOND,
 )
 ZONED = api.MessageClass(
     "zoned",
@@ -19,17 +24,19 @@
     aim_us=4 * SECOND,
     deadline_us=20 * SECOND,
     late_worth=0.5,
-    window_us=15 * SECOND,
-    scope_is_zone=True,
+    key_window_us=15 * SECOND,
+    key_scope_is_zone=True,
 )
 UNSAFE = api.MessageClass(
     "order", api.Effect.UNSAFE, aim_us=3 * SECOND, deadline_us=16 * SECOND, worth=4.0, late_worth=0.5
 )
-TURN = api.MessageClass("turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, in_order=True)
+ORDERED = api.MessageClass(
+    "turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, ordered_by_key=True
+)
 SETTINGS = api.Settings(
     slots=8,
-    classes=(SAFE, KEYED, ZONED, UNSAFE, TURN),
-    kinds=(api.Kind("plain"), api.Kind("split", apart=True, batch=3)),
+    classes=(SAFE, KEYED, ZONED, UNSAFE, ORDERED),
+    kinds=(api.DestinationKind("plain"), api.DestinationKind("split", limit_per_endpoint=True, batch_size=3)),
     tenants=(api.Tenant("big", 20.0), api.Tenant("small", 2.0)),
     group_size=2,
     hold_cap=60,
@@ -64,9 +71,11 @@
     return api.Entry(host, dest, zone, kind, listing, rate)
 
 
-def roster(*entries: api.Entry, kind: api.RosterKind = api.RosterKind.WHOLE) -> api.Roster:
+def endpoint_update(
+    *entries: api.Entry, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.WHOLE
+) -> api.EndpointUpdate:
     """News of the list."""
-    return api.Roster(kind, entries)
+    return api.EndpointUpdate(kind, entries)
 
 
 def arrival(
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,20 +5,23 @@
 import heapq
 
 from decisions import interface as api
-from decisions.engine import MOST_GONE, Relay
+from decisions.engine import MAX_GONE_ENDPOINTS, Relay
 from relay import endpoint_calls
 from relay.endpoint_list import HostList, Listed
-from tests.support import SAFE, SECOND, TURN, arrival, entry, roster, sends, settings
+from tests.support import ORDERED, SAFE, SECOND, arrival, endpoint_update, entry, sends, settings
 from tests.test_endpoint_calls import Calls
 
 
 def sizes(relay: Relay) -> dict[str, int]:
     """How much a relay keeps, by table; what belongs to others is counted with them."""
-    tables = "messages endpoints dests banned turns rests norms crowds look due ends"
+    tables = (
+        "messages endpoints dests banned key_queues key_cooldown_until_us baseline_stats"
+        " connect_failures_by_kind dests_to_check check_heap expiry_heap"
+    )
     told = {name: len(getattr(relay, name)) for name in tables.split()}
-    told["records"] = sum(len(e.records) for e in relay.endpoints.values())
+    told["records"] = sum(len(e.stats_by_class) for e in relay.endpoints.values())
     told["held"] = sum(len(dest.held) for dest in relay.dests.values())
-    told["lanes"] = sum(len(dest.lanes) for dest in relay.dests.values())
+    told["lanes"] = sum(len(dest.queues) for dest in relay.dests.values())
     told["of dests"] = sum(len(dest.endpoints) for dest in relay.dests.values())
     told["calls"] = sum(len(e.calls) for e in relay.endpoints.values())
     return told
@@ -27,12 +30,12 @@
 def test_a_hundred_thousand_messages_leave_no_more_than_ten_thousand() -> None:
     """Keys of an order that are used once each, and partners that no list names, could pile up."""
     relay = Relay(settings(hold_cap=200), 1)
-    relay.step(0, [roster(*(entry(f"h{n}", n % 4) for n in range(8)))])
+    relay.step(0, [endpoint_update(*(entry(f"h{n}", n % 4) for n in range(8)))])
     now_us, known = 0, dict[int, dict[str, int]]()
     done: list[tuple[int, int, api.Send]] = []
     for number in range(100_000):
         now_us += 10_000  # a hundred a second
-        cls = TURN if number % 2 else SAFE
+        cls = ORDERED if number % 2 else SAFE
         events: list[api.Event] = [arrival(f"m{number}", cls, number % 5, 2 * SECOND, f"k{number}")]
         if number % 500 == 0:
             events.append(arrival(f"n{number}", SAFE, 1000 + number, SECOND))
@@ -52,15 +55,17 @@
 def test_endpoints_that_left_are_forgotten_but_for_the_latest() -> None:
     """As many as a day of replacements brings; those listed stay, and so does one with a call out."""
     relay = Relay(settings(), 1)
-    relay.step(0, [roster(entry("stays"), entry("h0"))])
+    relay.step(0, [endpoint_update(entry("stays"), entry("h0"))])
     relay.step(5_000, [arrival("m1"), arrival("m2")])
     busy = {call.endpoint.host for e in relay.endpoints.values() for call in e.calls}
     for number in range(1, 2_000):
         gone = entry(f"h{number - 1}", listing=api.Listing.GONE)
-        relay.step(number * SECOND, [roster(gone, entry(f"h{number}"), kind=api.RosterKind.CHANGES)])
-    assert len(relay.endpoints) <= MOST_GONE + 8
+        relay.step(
+            number * SECOND, [endpoint_update(gone, entry(f"h{number}"), kind=api.EndpointUpdateKind.CHANGES)]
+        )
+    assert len(relay.endpoints) <= MAX_GONE_ENDPOINTS + 8
     assert {"stays", "h1999", *busy} <= relay.endpoints.keys()
-    assert relay.known == 2
+    assert relay.listed_count == 2
     assert relay.dests[1].endpoints == relay.endpoints
 
 
@@ -78,9 +83,9 @@
 def test_a_partner_without_endpoints_is_kept_as_long_as_a_message_is_out() -> None:
     """Its endpoint went over to another partner under a call; the call's outcome is still met."""
     relay = Relay(settings(), 1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     send = sends(relay.step(5_000, [arrival("m1")]))[0]
-    relay.step(10_000, [roster(entry("h1", dest=2))])
+    relay.step(10_000, [endpoint_update(entry("h1", dest=2))])
     for second in (6, 12):
         relay.step(second * SECOND, [api.TimerDue()])
     assert 1 in relay.dests
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -15,7 +15,7 @@
 import h11
 import pytest
 
-from decisions.interface import Entry, Kind, Listing, Verdict
+from decisions.interface import DestinationKind, Entry, Listing, Verdict
 from relay.answers import report_of, verdict_of, wait_of
 from relay.calls import Call, Part, PartOutcome
 from relay.endpoint_calls import Hosts, Left
@@ -24,7 +24,7 @@
 from standins.scripted import HttpServer, Request, delivered, silent, soon
 from tests.sockets import full_backlog
 
-KIND = Kind("banks", apart=True, batch=10)
+KIND = DestinationKind("banks", limit_per_endpoint=True, batch_size=10)
 
 
 class Calls:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -112,10 +112,12 @@
     calls, module = Calls(1), Relay(settings(), 1)
     if known:
         calls.hosts.apply(HostList(1, True, tuple(known)))
-        module.step(0, [api.Roster(api.RosterKind.CACHED, tuple(item.entry for item in known))])
+        module.step(
+            0, [api.EndpointUpdate(api.EndpointUpdateKind.CACHED, tuple(item.entry for item in known))]
+        )
     feed(calls, module)
     ready = {
-        host: (endpoint.listing, endpoint.dest, endpoint.later, endpoint.quota)
+        host: (endpoint.listing, endpoint.dest, endpoint.joined_late, endpoint.quota)
         for host, endpoint in module.endpoints.items()
         if endpoint.listing is not api.Listing.GONE
     }
@@ -134,15 +136,18 @@
         changes = {item.entry.host: item for item in hosts}  # of a host that is named twice the last counts
         entries = tuple(item.entry for item in changes.values())
         calls.hosts.apply(news)
-        kind = api.RosterKind.WHOLE if whole else api.RosterKind.CHANGES
-        module.step(5_000, [api.Roster(kind, entries)])
+        kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
+        module.step(5_000, [api.EndpointUpdate(kind, entries)])
 
     def by_pieces(calls: Calls, module: Relay) -> None:
         for number, piece in enumerate(pieces(changes_of(news, calls.hosts.listed), most)):
             assert len(piece) <= most
             calls.hosts.apply(HostList(2, False, piece))
             entries = tuple(item.entry for item in piece)
-            module.step(5_000 * (number + 1), [api.Roster(api.RosterKind.CHANGES, entries, number > 0)])
+            module.step(
+                5_000 * (number + 1),
+                [api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, number > 0)],
+            )
 
     assert follow(by_pieces, known) == follow(at_once, known)
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,7 +8,7 @@
 from decisions import interface as api
 from decisions.engine import Relay
 from tests.checker import Checker
-from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, entry, roster, sends, settings
+from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, endpoint_update, entry, sends, settings
 
 Answer = Callable[[int, api.Send, int], tuple[api.Verdict, int] | None]
 Feed = Callable[[int], list[api.Event]]
@@ -25,9 +25,9 @@
         for send in sends(checker.step(now_us, [*events, api.TimerDue(), *feed(now_us)])):
             attempt = len(checker.cases[send.id].attempts) - 1
             said = answer(now_us, send, attempt)
-            verdict, took_us = said or (api.Verdict.TIMEOUT, send.limit_us)
-            if took_us > send.limit_us:
-                verdict, took_us = api.Verdict.TIMEOUT, send.limit_us
+            verdict, took_us = said or (api.Verdict.TIMEOUT, send.timeout_us)
+            if took_us > send.timeout_us:
+                verdict, took_us = api.Verdict.TIMEOUT, send.timeout_us
             due.append((now_us + took_us, ended(send, verdict, attempt, took_us)))
             log.append((now_us, send))
     return log
@@ -43,7 +43,7 @@
 def test_a_limit_far_under_the_told_rate_is_not_hammered() -> None:
     """Incident i2ed9dd: a lowered limit drew refusals for as long as it lasted."""
     checker = Checker(settings(rates_told=True, hold_cap=500))
-    checker.step(0, [roster(entry("h1", rate=20.0))])
+    checker.step(0, [endpoint_update(entry("h1", rate=20.0))])
     served: list[int] = []
 
     def three_a_second(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -62,7 +62,7 @@
 def test_short_slots_go_where_they_earn_most_in_their_time() -> None:
     """Crawling destinations just inside the time-out must not take the slots of the quick ones."""
     checker = Checker(settings(slots=4, hold_cap=500))
-    checker.step(0, [roster(entry("slow", dest=1), entry("quick", dest=2))])
+    checker.step(0, [endpoint_update(entry("slow", dest=1), entry("quick", dest=2))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return OK, 900_000 if send.host == "slow" else 60_000
@@ -75,7 +75,7 @@
 def test_short_slots_go_to_calls_that_many_messages_share() -> None:
     """A call that carries three messages earns three times as much in its slot as one that carries one."""
     checker = Checker(settings(slots=4, hold_cap=500))
-    checker.step(0, [roster(entry("shared", dest=1, kind="split"), entry("single", dest=2))])
+    checker.step(0, [endpoint_update(entry("shared", dest=1, kind="split"), entry("single", dest=2))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return OK, 140_000 if send.host == "shared" else 100_000
@@ -88,7 +88,7 @@
 def test_one_failed_call_does_not_starve_a_destination_of_short_slots() -> None:
     """A strike is cleared by a success, and a success needs a slot."""
     checker = Checker(settings(slots=4, hold_cap=500))
-    checker.step(0, [roster(entry("a", dest=1), entry("b", dest=2), entry("struck", dest=3))])
+    checker.step(0, [endpoint_update(entry("a", dest=1), entry("b", dest=2), entry("struck", dest=3))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return (api.Verdict.ERROR if send.id == f"order3-{4 * SECOND}" else OK), 100_000
@@ -103,7 +103,7 @@
 def test_one_trial_at_a_time_for_all_failing_routes_of_a_destination() -> None:
     """A connection that fails holds its slot for as long as connecting may take (incident ib87010)."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(*(entry(f"h{n}", kind="split") for n in range(4)))])
+    checker.step(0, [endpoint_update(*(entry(f"h{n}", kind="split") for n in range(4)))])
     log = drive(checker, 12 * SECOND, steady(50_000), lambda *_: (api.Verdict.CONNECT_FAILED, SECOND))
     sent = sorted({at_us for at_us, _ in log if at_us > 6 * SECOND})  # messages of one call share a time
     assert sent, "trials go on"
@@ -113,7 +113,7 @@
 def test_a_brief_stall_is_not_taken_for_an_outage() -> None:
     """A pause of hundreds of milliseconds ends in late answers, and full speed at once."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         pause = 5 * SECOND <= now_us % (6 * SECOND) < 5_400_000
@@ -127,7 +127,7 @@
 
 def test_silence_shows_as_overdue_calls_and_stops_new_ones_before_any_timeout() -> None:
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"), entry("h2", dest=2))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2", dest=2))])
 
     def answer(now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         hung = send.host == "h1" and now_us > 4 * SECOND
@@ -144,7 +144,7 @@
     Until when it was watched, and the call.
     """
     checker = Checker(settings(slots=slots, hold_cap=500))
-    checker.step(0, [roster(entry("h1"), entry("h2", dest=2))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2", dest=2))])
     hung: list[api.Send] = []
 
     def answer(now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -173,7 +173,7 @@
     told = [ended(call, api.Verdict.CANCELLED)]
     again = sends(checker.step(now_us + 20_000, told) + checker.step(now_us + 400_000, [api.TimerDue()]))
     assert call.id in [send.id for send in again]
-    assert checker.relay.endpoints["h1"].ratio.share(now_us) > 0, "counted as the time-out that it is"
+    assert checker.relay.endpoints["h1"].failures.hit_ratio(now_us) > 0, "counted as the time-out that it is"
 
 
 def test_a_call_that_may_not_be_repeated_hangs_longer_alone() -> None:
@@ -194,7 +194,7 @@
 
 def test_a_connection_limit_beside_successes_is_no_outage() -> None:
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     out: list[int] = []
 
     def two_at_once(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -206,13 +206,13 @@
 
     log = drive(checker, 20 * SECOND, steady(160_000), two_at_once)
     assert len({send.id for at_us, send in log if at_us > 10 * SECOND}) >= 55, "the rate goes on"
-    assert checker.relay.endpoints["h1"].own.cold_us < 0
+    assert checker.relay.endpoints["h1"].own_limiter.cold_since_us < 0
 
 
 def test_calls_at_once_stay_within_the_connections_that_an_endpoint_bears() -> None:
     """Day 5: a pause for each connection turned away idled the others, and hundreds were held."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     out: list[int] = []
     turned: list[int] = []
 
@@ -237,43 +237,43 @@
 def test_a_hung_call_that_may_not_be_repeated_ends_long_before_its_message() -> None:
     """Day 5: at endpoints with five connections each, two to four stood hung for twelve seconds."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     hung = f"order1-{10 * SECOND}"
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int] | None:
         return None if send.id == hung else (OK, 60_000)
 
     log = drive(checker, 15 * SECOND, steady(200_000, UNSAFE), answer)
-    limits_us = {send.id: send.limit_us for _, send in log}
+    limits_us = {send.id: send.timeout_us for _, send in log}
     assert UNSAFE.aim_us <= limits_us[hung] <= UNSAFE.aim_us + SECOND
     assert hung not in checker.relay.messages
 
 
 def test_a_call_that_may_not_be_repeated_has_time_where_answers_are_slow() -> None:
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     log = drive(checker, 20 * SECOND, steady(200_000, UNSAFE), lambda *_: (OK, 800_000))
-    assert all(send.limit_us >= 8 * SECOND for _, send in log), "ten times of what is usual"
+    assert all(send.timeout_us >= 8 * SECOND for _, send in log), "ten times of what is usual"
 
 
 def test_an_endpoint_that_comes_later_has_the_aim_to_give_its_first_answer() -> None:
     """Incident r5f33a2: time-outs by what others took made an outage of endpoints that were only cold."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         return OK, 60_000 if send.host == "h1" else 900_000
 
     drive(checker, 5 * SECOND, steady(200_000), answer)
-    checker.step(5 * SECOND + 20_000, [roster(entry("h2"))])
+    checker.step(5 * SECOND + 20_000, [endpoint_update(entry("h2"))])
     first = drive(checker, 9 * SECOND, steady(200_000), answer)[0][1]
-    assert first.host == "h2" and first.limit_us == SAFE.aim_us
-    assert checker.relay.endpoints["h2"].own.ok_us > 0
+    assert first.host == "h2" and first.timeout_us == SAFE.aim_us
+    assert checker.relay.endpoints["h2"].own_limiter.last_success_us > 0
 
 
 def test_one_flooding_tenant_goes_last() -> None:
     checker = Checker(settings(slots=1, hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
 
     def feed(now_us: int) -> list[api.Event]:
         flood: list[api.Event] = [arrival(f"f{now_us}", SAFE, tenant="small")]
@@ -288,7 +288,7 @@
 def test_connections_cut_while_idle_are_closed_in_time_and_harm_no_endpoint() -> None:
     """Incident i3a3909: every call on a connection idle for half a second was reset at once."""
     checker = Checker(settings(hold_cap=500, keepalive_us=10 * SECOND))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     ended_us = [0]
     resets: list[int] = []
 
@@ -305,13 +305,13 @@
     assert len([at_us for at_us in resets if at_us > 20 * SECOND]) <= 4, "most are spared once it is learned"
     assert len(log) >= 45
     endpoint = checker.relay.endpoints["h1"]
-    assert endpoint.quota == endpoint.start and endpoint.own.cold_us < 0
+    assert endpoint.quota == endpoint.full_quota and endpoint.own_limiter.cold_since_us < 0
 
 
 def test_calls_lost_at_any_idle_age_close_no_connections() -> None:
     """Day 5: two calls in a hundred hung, and four in ten went out on new connections for it."""
     checker = Checker(settings(hold_cap=500, keepalive_us=10 * SECOND))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     closed = 0
 
     def answer(now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int] | None:
@@ -328,14 +328,14 @@
 def test_a_fast_refusing_endpoint_at_the_floor_gets_few_calls() -> None:
     """One in flight is no limit on rate: refusals back in 20 ms would allow fifty calls a second."""
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     log = drive(checker, 20 * SECOND, steady(100_000, KEYED), lambda *_: (api.Verdict.FULL, 20_000))
     assert 2 <= len([1 for at_us, _ in log if at_us > 10 * SECOND]) <= 10
 
 
 def test_all_destinations_failing_at_once_lose_nothing_and_come_back() -> None:
     checker = Checker(settings(hold_cap=500, max_attempts=8))
-    checker.step(0, [roster(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
+    checker.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in (1, 2, 3)))])
 
     def answer(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         down = 2 * SECOND < now_us < 8 * SECOND
@@ -350,7 +350,7 @@
 def test_one_refusal_early_in_a_life_leaves_the_pace_near_the_demand() -> None:
     """Day 5 of the score: demand read at a fraction at first, and one refusal cut the pace to that."""
     checker = Checker(settings(hold_cap=500, slots=40))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     refused: list[int] = []
 
     def once_full(now_us: int, _send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
@@ -368,6 +368,6 @@
     """Day 3 of the score: not counted, the first refusal of these messages cut the pace to almost nothing."""
     relay = Relay(settings(slots=40), 1)
     held = [arrival(f"m{number}") for number in range(50)]
-    calls = sends(relay.step(0, [roster(entry("h1")), *held]))
+    calls = sends(relay.step(0, [endpoint_update(entry("h1")), *held]))
     relay.step(40_000, [ended(calls[0], api.Verdict.FULL, took_us=40_000)])
-    assert relay.dests[1].limit.pace > 10
+    assert relay.dests[1].rate_limiter.allowed_rate > 10
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -8,9 +8,9 @@
 
 from decisions import interface as api
 from decisions.engine import Relay
-from decisions.state import Destination, Endpoint, Guard
+from decisions.state import Destination, Endpoint, LimiterState
 from tests.checker import Checker
-from tests.support import KEYED, SAFE, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.support import KEYED, SAFE, SECOND, arrival, ended, endpoint_update, entry, sends, settings
 from tests.test_failures import Feed, drive, steady
 
 DOWN = api.Verdict.CONNECT_FAILED
@@ -27,7 +27,7 @@
     for number in range(relays):
         checker = Checker(settings(group_size=size, slots=3, max_attempts=12), seed=number)
         hosts = [entry(f"h{n}", dest=n) for n in range(6)]
-        checker.step(0, [roster(*hosts)])
+        checker.step(0, [endpoint_update(*hosts)])
         feed: list[api.Event] = [arrival(f"m{number}-{n}", KEYED, n) for n in range(6)]
         start_us = 20_000 * (1 + number)
         log = drive(checker, 16 * SECOND, once(start_us, feed), lambda *_: (verdict, 20_000))
@@ -50,7 +50,7 @@
     Nine messages are served one by one; then one meets the outage, and five come in the pause behind that.
     """
     checker = Checker(settings(group_size=size, max_attempts=12), seed=seed)
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     down_us = 5 * SECOND
     failed_us: list[int] = []
     messages = dict.fromkeys(range(SECOND // 10, SECOND, SECOND // 10), 1)
@@ -89,25 +89,25 @@
     """The sum of the spaced calls is the area under the growing rate, whatever the part."""
     limits = settings(group_size=20, warm_within_us=10 * SECOND, cold_from=0.2, fall_multiple=2.0)
     relay = Relay(limits, seed=1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     endpoint = relay.endpoints["h1"]
-    endpoint.limit.rate = 20 * calls_per_s
-    endpoint.own.cold_us = 0
+    endpoint.rate_limiter.advertised_rate = 20 * calls_per_s
+    endpoint.own_limiter.cold_since_us = 0
     calls = 0
-    while relay.now < 9 * SECOND:
-        relay._space(endpoint, endpoint.own)
-        relay.now, calls = endpoint.own.next_us, calls + 1
-    borne = 2.0 * calls_per_s * (0.2 * relay.now + 0.8 * relay.now**2 / (20 * SECOND)) / SECOND
+    while relay.now_us < 9 * SECOND:
+        relay._space_cold_calls(endpoint, endpoint.own_limiter)
+        relay.now_us, calls = endpoint.own_limiter.pause_until_us, calls + 1
+    borne = 2.0 * calls_per_s * (0.2 * relay.now_us + 0.8 * relay.now_us**2 / (20 * SECOND)) / SECOND
     assert calls == pytest.approx(borne, rel=0.02)
 
 
 def test_no_room_left_slows_down_and_room_speeds_up() -> None:
     def pace(left: float | None) -> float:
         relay = Relay(settings(group_size=40), seed=1)
-        [send] = sends(relay.step(0, [roster(entry("h1")), arrival("m1")]))
+        [send] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1")]))
         told = api.Outcome("m1", 0, send.host, api.Verdict.OK, 1000, True, 0, left, 20.0)
         relay.step(1000, [told])
-        return relay.endpoints["h1"].limit.pace
+        return relay.endpoints["h1"].rate_limiter.allowed_rate
 
     assert pace(0.01) < 1.0 < pace(0.3) < pace(0.9)
     assert pace(7.0) == pace(-1.0) == pace(None), "a share out of range counts as not told"
@@ -116,7 +116,7 @@
 def paces(size: int, *told: tuple[api.Verdict, float], every_us: int = 10 * SECOND) -> list[float]:
     """A relay's pace at a limit of 20 a second after each of these answers."""
     relay = Relay(settings(group_size=size, may_cancel=False), seed=1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     found = []
     for number, (verdict, left) in enumerate(told):
         now_us = (1 + number) * every_us
@@ -124,7 +124,7 @@
         ok = verdict is api.Verdict.OK
         outcome = api.Outcome(send.id, 0, send.host, verdict, 1000, ok, 0, left, 20.0)
         relay.step(now_us + 1000, [outcome, api.Withdrawn(send.id)])
-        found.append(relay.endpoints["h1"].limit.pace)
+        found.append(relay.endpoints["h1"].rate_limiter.allowed_rate)
     return found
 
 
@@ -143,34 +143,34 @@
 def test_refusals_above_a_limit_are_no_outage(left: float, cold: bool) -> None:
     """join+vast: a relay that meets a destination seldom took three refusals in a row for an outage."""
     relay = Relay(settings(group_size=40), seed=1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     verdicts = [api.Verdict.OK] + [api.Verdict.FULL] * 4 + [api.Verdict.OK]
     for number, verdict in enumerate(verdicts):
         now_us = (1 + number) * 20 * SECOND
         [send] = sends(relay.step(now_us, [arrival(f"m{number}")]))
         outcome = api.Outcome(send.id, 0, send.host, verdict, 1000, verdict is api.Verdict.OK, 0, left, 20.0)
         relay.step(now_us + 1000, [outcome, api.Withdrawn(send.id)])
-    assert (relay.endpoints["h1"].limit.cold_us >= 0) is cold
+    assert (relay.endpoints["h1"].rate_limiter.cold_since_us >= 0) is cold
 
 
 def turned_away(told: bool, count: int) -> Relay:
     """A relay that had so many connections turned away in a row, long after the last that served."""
     relay = Relay(settings(group_size=40), seed=1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     for number in range(count):
         now_us = (1 + number) * 60 * SECOND
         [send] = sends(relay.step(now_us, [arrival(f"m{number}")]))
-        outcome = api.Outcome(send.id, 0, send.host, DOWN, 40_000, turned_away=told)
+        outcome = api.Outcome(send.id, 0, send.host, DOWN, 40_000, connections_full=told)
         relay.step(now_us + 40_000, [outcome, api.Withdrawn(send.id)])
     return relay
 
 
 def test_connections_turned_away_are_no_outage_but_are_asked_for_less_and_less() -> None:
     """join+vast: an endpoint out of connections was taken for one that is down by relays that call seldom."""
-    assert turned_away(False, 3).endpoints["h1"].own.strikes == 3
+    assert turned_away(False, 3).endpoints["h1"].own_limiter.failures_in_row == 3
     relays = [turned_away(True, count) for count in (1, 5)]
-    assert all(relay.endpoints["h1"].own.strikes == 0 for relay in relays)
-    first_us, fifth_us = (relay.endpoints["h1"].own.next_us - relay.now for relay in relays)
+    assert all(relay.endpoints["h1"].own_limiter.failures_in_row == 0 for relay in relays)
+    first_us, fifth_us = (relay.endpoints["h1"].own_limiter.pause_until_us - relay.now_us for relay in relays)
     assert 0 < first_us < 400_000 < fifth_us < 6 * SECOND
 
 
@@ -178,13 +178,13 @@
     """Whether a relay closes its connection to "h1", after one call of 20 elsewhere was turned away."""
     relay = Relay(settings(group_size=size, rates_told=True, keepalive_us=5 * SECOND), seed=1)
     others = entry("h2", dest=2, kind=kind, rate=1000.0)
-    relay.step(0, [roster(entry("h1", rate=1000.0), others)])
+    relay.step(0, [endpoint_update(entry("h1", rate=1000.0), others)])
     closed = False
     for number in range(21):
         at_us, dest = (1 + number) * 300_000, 1 if number == 20 else 2
         verdict = DOWN if number == 10 else api.Verdict.OK
         [send] = sends(relay.step(at_us, [arrival(f"m{number}", dest=dest)]))
-        told = api.Outcome(send.id, 0, send.host, verdict, 1000, True, turned_away=verdict is DOWN)
+        told = api.Outcome(send.id, 0, send.host, verdict, 1000, True, connections_full=verdict is DOWN)
         closed = api.CloseIdle("h1") in relay.step(at_us + 1000, [told])
     return closed
 
@@ -205,28 +205,28 @@
     assert paces(40, *half, every_us=SECOND)[0] < 20.0
 
 
-def limited(busy: int) -> tuple[Relay, Guard]:
+def limited(busy: int) -> tuple[Relay, LimiterState]:
     """One of 40 relays that had so many calls a second, for ten seconds, served within a limit of 20."""
     relay = Relay(settings(group_size=40, slots=50), seed=1)
-    relay.step(0, [roster(entry("h1"))])
+    relay.step(0, [endpoint_update(entry("h1"))])
     for number in range(10 * busy):
         now_us = (1 + number) * SECOND // busy
         for send in sends(relay.step(now_us, [arrival(f"m{number}")])):
             told = api.Outcome(send.id, 0, send.host, api.Verdict.OK, 9, True, 0, 0.8, 20.0)
             relay.step(now_us, [told])
-    return relay, relay.endpoints["h1"].limit
+    return relay, relay.endpoints["h1"].rate_limiter
 
 
 def test_a_refused_pace_is_soon_neared_again_and_passed_slowly() -> None:
     """join+vast: 40 paces that grew evenly ran a limit over every six seconds and used it by half between."""
     relay, limit = limited(busy=2)
-    refused = min(limit.pace, relay._own(limit))
-    relay._lower(limit)
-    assert limit.pace < 0.7 * refused
-    at_us, shares = relay.now, []
+    refused = min(limit.allowed_rate, relay._limit_share(limit))
+    relay._lower_allowed_rate(limit)
+    assert limit.allowed_rate < 0.7 * refused
+    at_us, shares = relay.now_us, []
     for after_us in (2 * SECOND, 4 * SECOND, 8 * SECOND):
-        relay.now = at_us + after_us
-        shares.append(relay._pace(limit) / refused)
+        relay.now_us = at_us + after_us
+        shares.append(relay._grown_allowed_rate(limit) / refused)
     assert 0.7 < shares[0] < shares[1] < shares[2] < 0.85, "small limits were run over every six seconds"
 
 
@@ -234,21 +234,21 @@
     """join+vast: half of what 40 relays were served in ten seconds was still more than the lowered limit."""
     relay, limit = limited(busy=2)
     for refusals in range(1, 4):
-        relay._lower(limit)
-        assert limit.pace < 2.2 * 0.6**refusals
+        relay._lower_allowed_rate(limit)
+        assert limit.allowed_rate < 2.2 * 0.6**refusals
 
 
 def test_a_lowered_limit_lowers_what_is_used_and_not_only_what_was_allowed() -> None:
     """join+vast: paces of ten times the use were halved with the limit, and the use went on until refused."""
     relay, limit = limited(busy=2)
-    assert limit.pace > 4
-    relay._told(limit, 10.0, 0.8)
-    assert limit.pace < 1.2
+    assert limit.allowed_rate > 4
+    relay._apply_advertised_rate(limit, 10.0, 0.8)
+    assert limit.allowed_rate < 1.2
 
 
 def test_a_class_that_fails_at_one_endpoint_goes_to_its_sibling() -> None:
     checker = Checker(settings(hold_cap=500))
-    checker.step(0, [roster(entry("h1"), entry("h2"))])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2"))])
 
     def answer(_now_us: int, send: api.Send, _attempt: int) -> tuple[api.Verdict, int]:
         failing = send.host == "h1" and checker.cases[send.id].cls is KEYED
@@ -264,7 +264,7 @@
 
 def test_a_busy_relay_in_a_large_group_is_not_held_to_an_equal_part() -> None:
     checker = Checker(settings(group_size=300, rates_told=True, hold_cap=500))
-    checker.step(0, [roster(entry("h1", rate=20.0))])
+    checker.step(0, [endpoint_update(entry("h1", rate=20.0))])
     log = drive(checker, 10 * SECOND, steady(200_000), lambda *_: (api.Verdict.OK, 80_000))
     assert len(log) >= 45, "five a second, where an equal part were one in fifteen seconds"
 
@@ -272,15 +272,15 @@
 def visits(dests: int) -> int:
     """Destinations looked at for one message while the others are idle."""
     relay = Relay(settings(), seed=1)
-    relay.step(0, [roster(*(entry(f"h{n}", dest=n) for n in range(dests)))])
+    relay.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(dests)))])
     seen: list[str] = []
-    room = relay._room
+    room = relay._can_call
 
     def counted(dest: Destination, endpoint: Endpoint) -> bool:
         seen.append(endpoint.host)
         return room(dest, endpoint)
 
-    relay._room = counted  # type: ignore[method-assign]
+    relay._can_call = counted  # type: ignore[method-assign]
     [send] = sends(relay.step(20_000, [arrival("m1", dest=1)]))
     relay.step(120_000, [ended(send)])
     return len(seen)
@@ -295,7 +295,7 @@
 def test_an_absurd_report_neither_ends_the_calls_nor_opens_the_pace(size: int, absurd: float) -> None:
     """A told limit of 1e-9 calls a second put off every later call, and with it every better report."""
     checker = Checker(settings(group_size=size, hold_cap=500))
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     relay, paces_seen, calls = checker.relay, list[float](), 0
     for number in range(60):
         now_us = (1 + number) * 500_000
@@ -305,7 +305,7 @@
             told = api.Outcome(send.id, attempt, send.host, api.Verdict.OK, 9, True, 0, 0.8, rate)
             checker.step(now_us + 10_000, [told])
             calls += number > 20
-        paces_seen.append(relay.endpoints["h1"].limit.pace)
+        paces_seen.append(relay.endpoints["h1"].rate_limiter.allowed_rate)
     assert calls > 30
     assert max(paces_seen[5:]) <= 4 * 20.0 * 1.03
 
@@ -316,7 +316,7 @@
     checker = Checker(told, seed=number)
     now_us, failed_us, asked = 0, -1, list[int]()
     while now_us < 30 * SECOND:
-        failed = [api.Roster(api.RosterKind.FAILED)] if now_us == failed_us else []
+        failed = [api.EndpointUpdate(api.EndpointUpdateKind.FAILED)] if now_us == failed_us else []
         actions = checker.step(now_us, [api.TimerDue(), *failed])
         if any(isinstance(action, api.Subscribe) for action in actions):
             asked.append(now_us)
@@ -335,8 +335,8 @@
 
 def test_a_watch_that_breaks_is_asked_for_again_soon_also_by_one_of_many() -> None:
     relay = Relay(settings(group_size=40, must_ask=True, ask_within_us=10 * SECOND), seed=1)
-    relay.step(0, [roster(entry("h1"))])
-    relay.step(SECOND, [api.Roster(api.RosterKind.FAILED)])
-    assert relay.ask_us - relay.now < SECOND
-    relay.step(2 * SECOND, [api.Roster(api.RosterKind.FAILED)])
-    assert relay.ask_us - relay.now >= SECOND
+    relay.step(0, [endpoint_update(entry("h1"))])
+    relay.step(SECOND, [api.EndpointUpdate(api.EndpointUpdateKind.FAILED)])
+    assert relay.next_ask_us - relay.now_us < SECOND
+    relay.step(2 * SECOND, [api.EndpointUpdate(api.EndpointUpdateKind.FAILED)])
+    assert relay.next_ask_us - relay.now_us >= SECOND
--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from decisions import interface as api
-from decisions.engine import MOST_GONE, Relay
+from decisions.engine import MAX_GONE_ENDPOINTS, Relay
 from relay.endpoint_list import HostList, Listed
 from relay.journal import Journal
 from standins.scripted import World, soon
-from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.support import KEYED, SECOND, arrival, ended, endpoint_update, entry, sends, settings
 from tests.test_endpoint_calls import Calls
 from tests.test_handover import upgraded
 
@@ -63,25 +63,27 @@
     """They all leave at once and come back: each is known, so none is taken for a new and cold one."""
     relay = Relay(settings(group_size=MANY), 1)
     names = [f"h{number}" for number in range(MANY)]
-    relay.step(0, [roster(*(entry(name, dest=at % 256) for at, name in enumerate(names)))])
-    assert relay.known == MANY <= MOST_GONE
+    relay.step(0, [endpoint_update(*(entry(name, dest=at % 256) for at, name in enumerate(names)))])
+    assert relay.listed_count == MANY <= MAX_GONE_ENDPOINTS
     before = dict(relay.endpoints)
-    relay.step(6 * SECOND, [roster()])
+    relay.step(6 * SECOND, [endpoint_update()])
     relay.step(12 * SECOND, [api.TimerDue()])
-    relay.step(18 * SECOND, [roster(*(entry(name, dest=at % 256) for at, name in enumerate(names)))])
+    relay.step(18 * SECOND, [endpoint_update(*(entry(name, dest=at % 256) for at, name in enumerate(names)))])
     assert relay.endpoints == before
-    beyond = [entry(f"x{number}") for number in range(MOST_GONE)]
-    relay.step(24 * SECOND, [roster(*beyond)])
-    relay.step(30 * SECOND, [roster(entry("last"))])
+    beyond = [entry(f"x{number}") for number in range(MAX_GONE_ENDPOINTS)]
+    relay.step(24 * SECOND, [endpoint_update(*beyond)])
+    relay.step(30 * SECOND, [endpoint_update(entry("last"))])
     relay.step(36 * SECOND, [api.TimerDue()])
-    assert len(relay.endpoints) == MOST_GONE + 1, "beyond the bound the first that came are forgotten"
-    assert relay.known == 1
+    assert len(relay.endpoints) == MAX_GONE_ENDPOINTS + 1, (
+        "beyond the bound the first that came are forgotten"
+    )
+    assert relay.listed_count == 1
 
 
 def test_a_relay_of_a_thousand_calls_a_thousand_endpoints() -> None:
     """One message for each destination goes out and ends, and the module can go over to another process."""
     relay = Relay(settings(group_size=MANY, slots=MANY, hold_cap=2 * MANY), 1)
-    events: list[api.Event] = [roster(*(entry(f"h{n}", dest=n) for n in range(MANY)))]
+    events: list[api.Event] = [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(MANY)))]
     events += [arrival(f"m{n}", KEYED, n) for n in range(MANY)]
     out = sends(relay.step(0, events))
     assert {send.host for send in out} == {f"h{n}" for n in range(MANY)}
@@ -95,12 +97,12 @@
     """Each step looks at what waits for a slot: a destination without a message must not."""
     relay = Relay(settings(slots=2, may_cancel=False), 1)
     many = [entry(f"h{n}", dest=n) for n in range(MANY)]
-    relay.step(0, [roster(*many[:8])])
+    relay.step(0, [endpoint_update(*many[:8])])
     out = sends(relay.step(5_000, [arrival(f"m{n}", KEYED, n) for n in range(4)]))
-    assert len(out) == relay.set.slots
+    assert len(out) == relay.settings.slots
     waiting = {0, 1, 2, 3} - {relay.messages[send.id].dest for send in out}
-    relay.step(10_000, [roster(*many)])
-    assert set(relay.look) == waiting
+    relay.step(10_000, [endpoint_update(*many)])
+    assert set(relay.dests_to_check) == waiting
     assert len(relay.endpoints) == MANY
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from decisions import interface as api
 from decisions.engine import Relay
 from decisions.state import Destination, Endpoint
-from tests.support import SAFE, arrival, entry, roster, sends, settings
+from tests.support import SAFE, arrival, endpoint_update, entry, sends, settings
 
 ROOT = Path(__file__).resolve().parent.parent
 BRAIN = (ROOT / "decisions" / "engine.py").read_text(encoding="utf-8")
@@ -59,20 +59,20 @@
 
 def test_a_kind_with_no_room_in_a_call_is_refused() -> None:
     with pytest.raises(ValueError, match="batch"):
-        settings(kinds=(api.Kind("plain", batch=0),))
+        settings(kinds=(api.DestinationKind("plain", batch_size=0),))
 
 
 def test_a_full_endpoint_is_not_asked_again_for_each_held_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Day 5 of the score: with hundreds held, these questions took most of a relay's processor."""
     relay = Relay(settings(hold_cap=1000), 1)
-    relay.step(0, [roster(entry("h1"))])
-    asked, room = [], Relay._room
+    relay.step(0, [endpoint_update(entry("h1"))])
+    asked, room = [], Relay._can_call
 
     def counted(self: Relay, dest: Destination, endpoint: Endpoint) -> bool:
         asked.append(endpoint.host)
         return room(self, dest, endpoint)
 
-    monkeypatch.setattr(Relay, "_room", counted)
+    monkeypatch.setattr(Relay, "_can_call", counted)
     actions = relay.step(5_000, [arrival(f"m{number}") for number in range(500)])
     assert 0 < len(sends(actions)) < 8
     assert len(asked) <= 2 * 8
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -10,7 +10,7 @@
 import pytest
 
 from decisions.engine import Relay
-from decisions.interface import Action, Event, Listing, Roster
+from decisions.interface import Action, EndpointUpdate, Event, Listing
 from relay import discovery
 from relay.config import Config, load
 from relay.discovery import LONG_LINE, PIECE
@@ -44,7 +44,7 @@
     def step(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         """Note, then take the step."""
         batch = list(events)
-        news = [event for event in batch if isinstance(event, Roster)]
+        news = [event for event in batch if isinstance(event, EndpointUpdate)]
         if news:
             self.taken.append([entry.listing for event in news for entry in event.entries])
         return super().step(now_us, batch)
@@ -70,7 +70,7 @@
         """Wait until the module knows so many endpoints."""
 
         async def known() -> None:
-            while self.module.known != count:
+            while self.module.listed_count != count:
                 await asyncio.sleep(0.005)
 
         await soon(known())
@@ -79,7 +79,7 @@
         """Wait until the first piece is in force."""
 
         async def known() -> None:
-            while not self.module.known:
+            while not self.module.listed_count:
                 await asyncio.sleep(0)
 
         await soon(known())
@@ -129,7 +129,7 @@
     await driver.until_version(world.directory.seq)
     assert max(map(len, driver.module.taken)) == PIECE
     assert sum(map(len, driver.module.taken)) == MANY
-    assert not any(endpoint.later for endpoint in driver.module.endpoints.values()), "all came at once"
+    assert not any(endpoint.joined_late for endpoint in driver.module.endpoints.values()), "all came at once"
     driver.close()
 
 
@@ -175,10 +175,10 @@
     changed = told_hosts(MANY)[-1] | {"health": "DRAINING"}
     world.directory.seq += 1
     world.directory.tell(request, False, [changed])
-    assert driver.module.known < MANY, "the list is not in force yet"
+    assert driver.module.listed_count < MANY, "the list is not in force yet"
     await driver.until_version(world.directory.seq)
     await driver.until_listed(changed["host"], Listing.DRAINING)
-    assert driver.module.known == MANY
+    assert driver.module.listed_count == MANY
     assert [listing for piece in driver.module.taken for listing in piece].count(Listing.DRAINING) == 1
     driver.close()
 
@@ -189,7 +189,7 @@
     driver = follow(world)
     await world.directory.call(0)
     await driver.until_any_known()
-    assert driver.module.known < MANY
+    assert driver.module.listed_count < MANY
     moved = World(world.folder / "moved")
     world.folder.joinpath("moved").mkdir()
     await moved.start()
@@ -215,7 +215,7 @@
     again = await world.directory.call(1)
     assert again.at_s - (await world.directory.call(0)).at_s < TOLD_S
     assert "a line of over 1048576 bytes, the bound by this relay's memory" in caplog.text
-    assert driver.module.known == 3
+    assert driver.module.listed_count == 3
     driver.close()
 
 
--- a/tests/test_ranked_queue.py
+++ b/tests/test_ranked_queue.py
@@ -15,39 +15,53 @@
 from hypothesis import strategies as st
 
 from decisions import interface as api
-from decisions.engine import RISKS, Relay
-from decisions.ranked_queue import Lane, Ranked
+from decisions.engine import REPEAT_RISKS, Relay
+from decisions.ranked_queue import DeadlineQueue, RankedMessage
 from decisions.state import Call, Destination, Endpoint, Message
-from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    ORDERED,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    ZONED,
+    arrival,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 
 HALVED = replace(SAFE, name="halved", late_worth=0.25, aim_us=SECOND, deadline_us=8 * SECOND)
 WORTHLESS = replace(SAFE, name="worthless", worth=0.0)
 LATE_IS_FINE = replace(KEYED, name="fine", late_worth=1.0)
-CLASSES = (SAFE, KEYED, ZONED, UNSAFE, TURN, HALVED, WORTHLESS, LATE_IS_FINE)
+CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED, HALVED, WORTHLESS, LATE_IS_FINE)
 
 
 class Plain(Relay):
     """The same relay that looks at every held message each time: slow, and easily seen to be right."""
 
-    def _ranked(self, dest: Destination, rooms: list[Endpoint], short: bool) -> Iterator[Ranked[Message]]:
+    def _ranked_messages(
+        self, dest: Destination, rooms: list[Endpoint], short: bool
+    ) -> Iterator[RankedMessage[Message]]:
         ranked = []
-        for message in filter(self._has_turn, dest.held.values()):
-            slot_us = min(self._slot_us(message, dest, e) for e in rooms) if short else 1.0
+        for message in filter(self._key_allows, dest.held.values()):
+            slot_us = min(self._slot_time_us(message, dest, e) for e in rooms) if short else 1.0
             ranked.append((-self._score(message) / slot_us, message))
-        if any(g.strikes for e in dest.endpoints.values() for g in e.guards):
+        if any(g.failures_in_row for e in dest.endpoints.values() for g in e.limiters):
             ranked.sort(key=lambda pair: pair[0])
             ranks, messages = [rank for rank, _ in ranked], [message for _, message in ranked]
-            messages.sort(key=lambda m: RISKS[m.cls.effect] + m.attempts / self.set.max_attempts)
+            messages.sort(key=lambda m: REPEAT_RISKS[m.cls.effect] + m.attempts / self.settings.max_attempts)
             ranked = list(zip(ranks, messages, strict=True))
         ready = [(rank, place, message) for place, (rank, message) in enumerate(ranked)]
         heapq.heapify(ready)
         return iter([heapq.heappop(ready) for _ in range(len(ready))])
 
-    def _ended_by(self, dest: Destination, at_us: int) -> list[Message]:
-        return [m for m in dest.held.values() if self._end_us(m) <= at_us]
+    def _held_ending_by(self, dest: Destination, at_us: int) -> list[Message]:
+        return [m for m in dest.held.values() if self._answer_by_us(m) <= at_us]
 
-    def _carried(self, call: Call) -> list[tuple[Message, int]]:
-        return [(m, n) for m in self.messages.values() for n, other in m.out.items() if other is call]
+    def _messages_of_call(self, call: Call) -> list[tuple[Message, int]]:
+        return [(m, n) for m in self.messages.values() for n, other in m.open_calls.items() if other is call]
 
 
 def config(halves: bool = False, hold_cap: int = 120) -> api.Settings:
@@ -62,7 +76,7 @@
     now_us, serial, most = 0, 0, 0
     out: list[tuple[api.Send, int]] = []
     tries: dict[str, int] = {}
-    events: list[api.Event] = [roster(*entries)]
+    events: list[api.Event] = [endpoint_update(*entries)]
     for _ in range(steps):
         did = fast.step(now_us, events)
         assert did == plain.step(now_us, events)
@@ -76,7 +90,7 @@
             serial += 1
             cls = rng.choice(CLASSES)
             left_us = rng.choice([cls.deadline_us, cls.deadline_us, rng.randrange(1, cls.deadline_us)])
-            key = rng.choice("kq") if cls.in_order else ""
+            key = rng.choice("kq") if cls.ordered_by_key else ""
             tenant = rng.choice(["big", "small"])
             events.append(arrival(f"m{serial}", cls, rng.randrange(3), left_us, key, tenant))
         rng.shuffle(out)
@@ -120,13 +134,13 @@
     def rank(deadline: int) -> float:
         return float(min(deadline, 7)) if deadline <= 14 else float(21 - deadline)
 
-    lane, items = Lane[Item](), list[Item]()
+    lane, items = DeadlineQueue[Item](), list[Item]()
     for order, (deadline, _) in enumerate(parts, 1):
         items.append(Item(order, rank(deadline)))
         lane.add(deadline, items[-1])
     for item in data.draw(st.lists(st.sampled_from(items), unique_by=lambda item: item.order)):
         item.order = 0
-        lane.left()
+        lane.mark_removed()
     stay = sorted((item for item in items if item.order), key=lambda item: (item.value, item.order))
     assert len(lane) == len(stay)
     if stay:
@@ -136,7 +150,7 @@
 def work(held: int, hosts: int = 1) -> int:
     """Calls of functions in one step that sends one message, with so many held and hosts listed."""
     relay = Relay(settings(hold_cap=100_000, slots=2), 1)
-    relay.step(0, [roster(*(entry(f"h{n}", 1 + n // 2) for n in range(hosts)))])
+    relay.step(0, [endpoint_update(*(entry(f"h{n}", 1 + n // 2) for n in range(hosts)))])
     did = relay.step(5_000, [arrival(f"m{number}", SAFE if number % 2 else KEYED) for number in range(held)])
     called = [0]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,22 +8,22 @@
 from tests.checker import Checker
 from tests.support import (
     KEYED,
+    ORDERED,
     SAFE,
     SECOND,
-    TURN,
     UNSAFE,
     ZONED,
     arrival,
     ended,
+    endpoint_update,
     entry,
-    roster,
     sends,
     settings,
 )
 
 Listing = api.Listing
 Verdict = api.Verdict
-Kind = api.RosterKind
+Kind = api.EndpointUpdateKind
 
 
 def run_quiet(checker: Checker, start_us: int, until_us: int, gap_us: int = 20_000) -> list[api.Action]:
@@ -36,42 +36,42 @@
 
 def test_a_message_is_sent_once_and_a_success_needs_no_answer() -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1")), arrival("m1")]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1")), arrival("m1")]))
     assert send.host == "h1"
     assert not [a for a in checker.step(100_000, [ended(send)]) if isinstance(a, api.Fail | api.Refuse)]
 
 
 def test_no_usable_endpoint_holds_then_answers() -> None:
     checker = Checker(settings())
-    assert not sends(checker.step(0, [roster(), arrival("m1")]))
+    assert not sends(checker.step(0, [endpoint_update(), arrival("m1")]))
     actions = run_quiet(checker, 20_000, 7 * SECOND)
     assert [type(a) for a in actions if not isinstance(a, api.Wake)] == [api.Refuse]
 
 
 def test_an_endpoint_that_appears_gets_what_is_held() -> None:
     checker = Checker(settings())
-    checker.step(0, [roster(), arrival("m1")])
-    assert sends(checker.step(SECOND, [roster(entry("h1"), kind=Kind.CHANGES)]))
+    checker.step(0, [endpoint_update(), arrival("m1")])
+    assert sends(checker.step(SECOND, [endpoint_update(entry("h1"), kind=Kind.CHANGES)]))
 
 
 @pytest.mark.parametrize("verdict", [Verdict.TIMEOUT, Verdict.ERROR, Verdict.RESET, Verdict.CANCELLED])
 def test_an_unsafe_message_that_may_have_run_fails_at_once(verdict: Verdict) -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1"), entry("h2")), arrival("m1", UNSAFE)]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1"), entry("h2")), arrival("m1", UNSAFE)]))
     assert api.Fail("m1") in checker.step(SECOND, [ended(send, verdict)])
 
 
 @pytest.mark.parametrize("verdict", [Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.NOT_SENT])
 def test_an_unsafe_message_that_never_ran_goes_again(verdict: Verdict) -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1"), entry("h2")), arrival("m1", UNSAFE)]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1"), entry("h2")), arrival("m1", UNSAFE)]))
     actions = checker.step(50_000, [ended(send, verdict)]) + run_quiet(checker, 70_000, 3 * SECOND)
     assert sends(actions)
 
 
 def test_a_keyed_message_is_not_sent_past_its_window() -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1")), arrival("m1", KEYED)]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1")), arrival("m1", KEYED)]))
     actions = checker.step(4_100_000, [ended(send, Verdict.TIMEOUT)])
     assert not sends(actions)
     assert [a for a in actions if isinstance(a, api.Refuse)], "scope all: handing back is harmless"
@@ -80,7 +80,7 @@
 def test_a_zoned_key_stays_in_its_zone() -> None:
     checker = Checker(settings())
     first = sends(
-        checker.step(0, [roster(entry("h1", zone="a"), entry("h2", zone="b")), arrival("m1", ZONED)])
+        checker.step(0, [endpoint_update(entry("h1", zone="a"), entry("h2", zone="b")), arrival("m1", ZONED)])
     )[0]
     actions = checker.step(SECOND, [ended(first, Verdict.TIMEOUT)])
     actions += run_quiet(checker, SECOND + 20_000, 5 * SECOND)
@@ -89,38 +89,40 @@
 
 def test_draining_and_gone_endpoints_get_nothing() -> None:
     checker = Checker(settings())
-    checker.step(0, [roster(entry("h1"), entry("h2"))])
-    checker.step(10_000, [roster(entry("h1", listing=Listing.DRAINING), kind=Kind.CHANGES)])
+    checker.step(0, [endpoint_update(entry("h1"), entry("h2"))])
+    checker.step(10_000, [endpoint_update(entry("h1", listing=Listing.DRAINING), kind=Kind.CHANGES)])
     assert {s.host for s in sends(checker.step(20_000, [arrival("m1"), arrival("m2")]))} == {"h2"}
-    checker.step(30_000, [roster(entry("h3"))])
+    checker.step(30_000, [endpoint_update(entry("h3"))])
     assert {s.host for s in sends(checker.step(40_000, [arrival("m3")]))} == {"h3"}
 
 
 def test_a_banned_endpoint_gets_nothing_whatever_the_list_says() -> None:
     """Also one that is listed only after the ban, or listed anew; both figures count it."""
     checker = Checker(settings())
-    checker.step(0, [api.Ban("h1", True), roster(entry("h1"), entry("h2"))])
-    checker.step(10_000, [roster(entry("h2"), kind=Kind.CHANGES), roster(entry("h1", dest=2))])
-    checker.step(20_000, [roster(entry("h1"), entry("h2"))])
+    checker.step(0, [api.Ban("h1", True), endpoint_update(entry("h1"), entry("h2"))])
+    checker.step(
+        10_000, [endpoint_update(entry("h2"), kind=Kind.CHANGES), endpoint_update(entry("h1", dest=2))]
+    )
+    checker.step(20_000, [endpoint_update(entry("h1"), entry("h2"))])
     assert {s.host for s in sends(checker.step(30_000, [arrival(f"m{n}") for n in range(4)]))} == {"h2"}
-    assert (checker.relay.known, checker.relay.excluded) == (2, 1)
+    assert (checker.relay.listed_count, checker.relay.excluded_count) == (2, 1)
 
 
 def test_what_is_held_for_a_banned_endpoint_goes_out_with_the_call_back() -> None:
     """The endpoint was restarted meanwhile: it is cold and gets single calls at first."""
     checker = Checker(settings())
-    checker.step(0, [roster(entry("h1"))])
+    checker.step(0, [endpoint_update(entry("h1"))])
     checker.step(10_000, [api.Ban("h1", True)])
     assert not sends(checker.step(20_000, [arrival(f"m{n}", KEYED) for n in range(6)]))
     actions = checker.step(SECOND, [api.Ban("h1", False)])
     actions += run_quiet(checker, SECOND + 20_000, 4 * SECOND)
     assert [s.host for s in sends(actions)] == ["h1"]
-    assert checker.relay.excluded == 0
+    assert checker.relay.excluded_count == 0
 
 
 def test_a_told_wait_is_kept_for_the_whole_destination() -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1"), entry("h2")), arrival("m1")]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1"), entry("h2")), arrival("m1")]))
     checker.step(50_000, [ended(send, Verdict.FULL, wait_us=SECOND), arrival("m2")])
     assert not sends(run_quiet(checker, 60_000, 1_050_000))
     assert sends(run_quiet(checker, 1_050_000, 3 * SECOND))
@@ -128,7 +130,7 @@
 
 def test_a_told_wait_on_a_separate_route_leaves_the_other_free() -> None:
     checker = Checker(settings())
-    hosts = roster(entry("h1", kind="split"), entry("h2", kind="split"))
+    hosts = endpoint_update(entry("h1", kind="split"), entry("h2", kind="split"))
     [send] = sends(checker.step(0, [hosts, arrival("m1")]))
     [again] = sends(checker.step(50_000, [ended(send, Verdict.FULL, wait_us=SECOND)]))
     assert again.host != send.host
@@ -136,14 +138,18 @@
 
 def test_a_wait_past_the_messages_time_is_answered_at_once() -> None:
     checker = Checker(settings())
-    [send] = sends(checker.step(0, [roster(entry("h1")), arrival("m1")]))
+    [send] = sends(checker.step(0, [endpoint_update(entry("h1")), arrival("m1")]))
     actions = checker.step(50_000, [ended(send, Verdict.FULL, wait_us=30 * SECOND)])
     assert [a for a in actions if isinstance(a, api.Refuse)]
 
 
 def test_order_by_key_one_at_a_time_and_a_rest_after_a_timeout() -> None:
     checker = Checker(settings())
-    batch: list[api.Event] = [roster(entry("h1")), arrival("m1", TURN, key="k"), arrival("m2", TURN, key="k")]
+    batch: list[api.Event] = [
+        endpoint_update(entry("h1")),
+        arrival("m1", ORDERED, key="k"),
+        arrival("m2", ORDERED, key="k"),
+    ]
     [send] = sends(checker.step(0, batch))
     assert send.id == "m1"
     actions = checker.step(SECOND, [ended(send, Verdict.TIMEOUT)]) + run_quiet(checker, SECOND, 4 * SECOND)
@@ -155,7 +161,11 @@
 
 def test_order_rests_when_the_earlier_message_ended_unsettled() -> None:
     checker = Checker(settings(max_attempts=1))
-    batch: list[api.Event] = [roster(entry("h1")), arrival("m1", TURN, key="k"), arrival("m2", TURN, key="k")]
+    batch: list[api.Event] = [
+        endpoint_update(entry("h1")),
+        arrival("m1", ORDERED, key="k"),
+        arrival("m2", ORDERED, key="k"),
+    ]
     [send] = sends(checker.step(0, batch))
     checker.step(SECOND, [ended(send, Verdict.TIMEOUT)])
     assert not sends(run_quiet(checker, SECOND, SECOND + 700_000))
@@ -166,7 +176,7 @@
     """Calls in the first two seconds after a silent outage, with a backlog waiting."""
     config = settings(group_size=group_size, rates_told=True, fall_multiple=2.0, cold_from=0.2)
     checker = Checker(config)
-    checker.step(0, [roster(entry("h1", rate=10.0))])
+    checker.step(0, [endpoint_update(entry("h1", rate=10.0))])
     out = sends(checker.step(0, [arrival("w", KEYED)]))
     checker.step(100_000, [ended(out[0])])
     now_us, count = 200_000, 0
@@ -211,9 +221,9 @@
 
 def test_ask_discovery_subscribes_and_asks_again_after_failures() -> None:
     checker = Checker(settings(must_ask=True, ask_within_us=10 * SECOND))
-    assert api.Subscribe() in checker.step(0, [roster(entry("h1"), kind=Kind.CACHED)])
+    assert api.Subscribe() in checker.step(0, [endpoint_update(entry("h1"), kind=Kind.CACHED)])
     for turn in range(1, 8):
-        actions = checker.step(turn * 10 * SECOND, [api.Roster(Kind.FAILED)])
+        actions = checker.step(turn * 10 * SECOND, [api.EndpointUpdate(Kind.FAILED)])
         actions += run_quiet(checker, turn * 10 * SECOND + 20_000, turn * 10 * SECOND + 4 * SECOND)
         assert [a for a in actions if isinstance(a, api.Subscribe)]
 
@@ -229,7 +239,7 @@
             api.Arrival("z", 1, "no class", 5),
         ],
     )
-    [send] = sends(checker.step(10, [roster(entry("h1")), arrival("m1")]))
+    [send] = sends(checker.step(10, [endpoint_update(entry("h1")), arrival("m1")]))
     checker.step(20, [api.Withdrawn("m1")])
     late = checker.step(30, [ended(send, Verdict.TIMEOUT)])
     assert not [a for a in late if isinstance(a, api.Fail | api.Refuse)]
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -12,10 +12,22 @@
 
 from decisions import interface as api
 from tests.checker import Checker
-from tests.support import KEYED, SAFE, SECOND, TURN, UNSAFE, ZONED, arrival, entry, roster, sends, settings
+from tests.support import (
+    KEYED,
+    ORDERED,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    ZONED,
+    arrival,
+    endpoint_update,
+    entry,
+    sends,
+    settings,
+)
 
 VERDICTS = list(api.Verdict)
-CLASSES = (SAFE, KEYED, ZONED, UNSAFE, TURN)
+CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED)
 LISTINGS = st.sampled_from(list(api.Listing))
 HOSTS = [(f"h{n}", n % 3, "split" if n % 3 == 2 else "plain", "ab"[n // 3 % 2]) for n in range(9)]
 
@@ -39,7 +51,7 @@
     """Turn a script into events that the wire could deliver and run it to the end."""
     checker = Checker(config, seed)
     entries = [entry(host, dest, kind, zone=zone, rate=5.0) for host, dest, kind, zone in HOSTS]
-    checker.step(0, [roster(*entries, kind=api.RosterKind.CACHED)])
+    checker.step(0, [endpoint_update(*entries, kind=api.EndpointUpdateKind.CACHED)])
     out: list[tuple[api.Send, int]] = []
     now_us, serial = 0, 0
 
@@ -53,7 +65,7 @@
         for send, attempt in list(out):
             if checker.cases[send.id].attempts[attempt].expires_us <= until_us:
                 out.remove((send, attempt))
-                events.append(api.Outcome(send.id, attempt, send.host, api.Verdict.TIMEOUT, send.limit_us))
+                events.append(api.Outcome(send.id, attempt, send.host, api.Verdict.TIMEOUT, send.timeout_us))
         return events
 
     for gap_us, new, ends, change, withdraw in script:
@@ -71,7 +83,7 @@
         if change is not None:
             host, dest, kind, zone = HOSTS[change[0]]
             news = entry(host, dest, kind, change[1], zone, 5.0)
-            events.append(roster(news, kind=api.RosterKind.CHANGES))
+            events.append(endpoint_update(news, kind=api.EndpointUpdateKind.CHANGES))
         for cls, dest, key in new:
             serial += 1
             events.append(arrival(f"m{serial}", cls, dest, key=key, tenant="small"))
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 from decisions.engine import Relay
 from relay import discovery
 from standins.scripted import Request, World
-from tests.support import SECOND, entry, roster, settings
+from tests.support import SECOND, endpoint_update, entry, settings
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD_S = 6.0  # what discovery has counts as told so long after it could be reached
@@ -119,11 +119,11 @@
         number = seed * size // 20
         told = settings(group_size=size, number=number, must_ask=True, ask_within_us=10 * SECOND)
         relay = Relay(told, seed=seed)
-        relay.step(0, [roster(entry("h1"), kind=api.RosterKind.CACHED)])
+        relay.step(0, [endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED)])
         asked_us, failing = [0], True
         while len(asked_us) < 30:
-            now_us = asked_us[-1] + failed_us if failing else relay.ask_us
-            events = [api.Roster(api.RosterKind.FAILED)] if failing else [api.TimerDue()]
+            now_us = asked_us[-1] + failed_us if failing else relay.next_ask_us
+            events = [api.EndpointUpdate(api.EndpointUpdateKind.FAILED)] if failing else [api.TimerDue()]
             if api.Subscribe() in relay.step(now_us, events):
                 asked_us.append(now_us)
             failing = not failing
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,7 +8,7 @@
 from decisions.engine import Relay
 from standins.scripted import Request, World
 from tests.sockets import full_backlog
-from tests.support import KEYED, SECOND, arrival, ended, entry, roster, sends, settings
+from tests.support import KEYED, SECOND, arrival, ended, endpoint_update, entry, sends, settings
 
 WINDOW_S = 1.0
 
@@ -69,11 +69,11 @@
 
 def test_a_repeat_tells_how_long_it_may_begin() -> None:
     relay = Relay(settings(), seed=1)
-    [first] = sends(relay.step(0, [roster(entry("h1")), arrival("m1", KEYED)]))
-    assert first.begin_us == 0
+    [first] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1", KEYED)]))
+    assert first.latest_begin_us == 0
     relay.step(SECOND, [ended(first, api.Verdict.RESET)])
     again = [
         send for at in range(1, 40) for send in sends(relay.step(SECOND + at * 100_000, [api.TimerDue()]))
     ]
     assert again, "it is repeated within the window"
-    assert 0 < again[0].begin_us <= KEYED.window_us - SECOND - settings().round_us
+    assert 0 < again[0].latest_begin_us <= KEYED.key_window_us - SECOND - settings().round_us
