--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -15,7 +15,7 @@
 from fleetlab.scale.records import ScaleError
 from relay.config import Config
 from relay.driver import Driver
-from relay.endpoint_list import HostList
+from relay.endpoint_list import DirectoryUpdate
 from relay.journal import Journal
 from relay.resource_usage import memory_of
 
@@ -49,7 +49,7 @@
         disk_bytes=disk_bytes,
         sockets=4 * DOWN,
         memory_bytes=1 << 40,
-        known=HostList(0, True, ()),
+        known=DirectoryUpdate(0, True, ()),
     )
 
 
--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -12,8 +12,8 @@
 from fleetlab.scale.process import processor_seconds
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
-from relay.discovery import most_line_bytes
-from relay.endpoint_list import read_list
+from relay.discovery import line_limit_for_memory
+from relay.endpoint_list import parse_list
 
 
 def settings() -> Settings:
@@ -65,14 +65,16 @@
     line = endpoints.news_line(size, True, endpoints.entries(size, Random(seed)))
     relay = Relay(settings(), seed)
     begun_s = processor_seconds()
-    news = read_list(json.loads(line))
+    news = parse_list(json.loads(line))
     read_s = processor_seconds() - begun_s
     begun_s = processor_seconds()
-    relay.step(0, [EndpointUpdate(EndpointUpdateKind.WHOLE, tuple(listed.entry for listed in news.hosts))])
+    relay.step(
+        0, [EndpointUpdate(EndpointUpdateKind.WHOLE, tuple(listed.entry for listed in news.endpoints))]
+    )
     step_s = processor_seconds() - begun_s
     return [
         Reading("whole_list_bytes", float(len(line))),
-        Reading("fits_one_line", float(len(line) <= most_line_bytes(endpoints.RELAY_MEMORY_BYTES))),
+        Reading("fits_one_line", float(len(line) <= line_limit_for_memory(endpoints.RELAY_MEMORY_BYTES))),
         Reading("endpoints_known", float(relay.listed_count)),
         timed("read_processor_seconds", read_s),
         timed("longest_step_processor_seconds", step_s),
--- a/fleetlab/scale/watching.py
+++ b/fleetlab/scale/watching.py
@@ -16,8 +16,8 @@
 from decisions.engine import MIN_ASK_GAP_US
 from fleetlab.scale.child import Child, carry_out
 from fleetlab.scale.endpoints import RELAY_MEMORY_BYTES
-from relay.discovery import Watch, most_line_bytes
-from relay.endpoint_list import HostList
+from relay.discovery import Watch, line_limit_for_memory
+from relay.endpoint_list import DirectoryUpdate
 from relay.http import Address
 
 ASK_S = (
@@ -54,18 +54,18 @@
             told=self._told,
             told_in_pieces=self._told_long,
             failed=self._failed,
-            most_line=most_line_bytes(RELAY_MEMORY_BYTES),
+            most_line=line_limit_for_memory(RELAY_MEMORY_BYTES),
         )
         self._again: asyncio.TimerHandle | None = None
         self.heard_s = 0.0
         self.lines = self.entries = self.broken = 0
 
-    def _told(self, news: HostList) -> None:
+    def _told(self, news: DirectoryUpdate) -> None:
         self.heard_s = time.monotonic()
         self.lines += 1
-        self.entries += len(news.hosts)
+        self.entries += len(news.endpoints)
 
-    async def _told_long(self, news: HostList) -> None:
+    async def _told_long(self, news: DirectoryUpdate) -> None:
         self._told(news)
 
     def _failed(self) -> None:
@@ -102,7 +102,7 @@
     def obey(self, order: Reached) -> Watched:
         """Tell what was heard."""
         return Watched(
-            reached=sum(1 for w in self._all if w.lines and w.watch.seq >= order.version),
+            reached=sum(1 for w in self._all if w.lines and w.watch.version >= order.version),
             last_heard_s=max(w.heard_s for w in self._all),
             lines=sum(w.lines for w in self._all),
             entries=sum(w.entries for w in self._all),
--- a/relay/admin.py
+++ b/relay/admin.py
@@ -17,7 +17,7 @@
 import h11
 
 from relay.driver import ENDS, Counts, Driver, Figures
-from relay.http import MOST_HEAD
+from relay.http import MAX_HEAD_BYTES
 from relay.journal import JournalFullError
 from relay.listeners import Listener
 
@@ -130,7 +130,7 @@
 
     def __init__(self, admin: Admin, former: Counts) -> None:
         self._admin, self._former = admin, former
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._body = 0  # bytes of its body that came
         self._answered = False
--- a/relay/answers.py
+++ b/relay/answers.py
@@ -8,22 +8,24 @@
 
 from decisions.interface import Verdict
 from relay.calls import Call, PartOutcome
-from relay.http import SHORT
+from relay.http import RESOURCE_SHORTAGE_ERRNOS
 
 LOG = logging.getLogger(__name__)
-MOST_ANSWER = 64 * 1024  # bytes of an answer's body
-ENDS = {
+MAX_ANSWER_BYTES = 64 * 1024  # bytes of an answer's body
+BATCH_VERDICTS = {
     "delivered": Verdict.OK,
     "failed": Verdict.ERROR,
     "refused": Verdict.FULL,
     "over": Verdict.NOT_SENT,
     "spent": Verdict.NOT_SENT,
 }
-OVER, DELIVERED = 410, 200
-SHORT_US = 250_000  # us that a message is held back for where this process has no descriptor left
+STATUS_OVER, STATUS_DELIVERED = 410, 200
+LOCAL_SHORTAGE_WAIT_US = (
+    250_000  # us that a message is held back for where this process has no descriptor left
+)
 
 
-def wait_of(answer: h11.Response) -> int:
+def parse_wait_us(answer: h11.Response) -> int:
     """The wait that an answer tells, in microseconds; 0 for none."""
     for name, value in answer.headers:
         if name == b"x-retry-in-ms":
@@ -34,7 +36,7 @@
     return 0
 
 
-def report_of(answer: h11.Response) -> dict[str, float]:
+def parse_load_report(answer: h11.Response) -> dict[str, float]:
     """The load report that any answer may carry; values that cannot be read are unknown."""
     report: dict[str, float] = {}
     for name, value in answer.headers:
@@ -58,27 +60,27 @@
         return Verdict.NOT_SENT
     if new and answer.status_code == 503 and (b"connection", b"close") in answer.headers:
         return Verdict.CONNECT_FAILED
-    table = {DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
-    unsent = dict.fromkeys((400, OVER, 413, 504), Verdict.NOT_SENT)
+    table = {STATUS_DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
+    unsent = dict.fromkeys((400, STATUS_OVER, 413, 504), Verdict.NOT_SENT)
     return (table | unsent).get(answer.status_code, Verdict.ERROR)
 
 
-def broken(call: Call, error: Exception) -> PartOutcome:
+def outcome_without_answer(call: Call, error: Exception) -> PartOutcome:
     """What a call proves that ended without an answer that could be read.
 
     An answer that makes no sense is the host's failure: the connection brought it, so nothing cut that.
     """
-    if not call.written:
-        if isinstance(error, OSError) and error.errno in SHORT:  # says nothing of the host
-            return PartOutcome(Verdict.NOT_SENT, wait_us=SHORT_US)
+    if not call.fully_written:
+        if isinstance(error, OSError) and error.errno in RESOURCE_SHORTAGE_ERRNOS:  # says nothing of the host
+            return PartOutcome(Verdict.NOT_SENT, wait_us=LOCAL_SHORTAGE_WAIT_US)
         return PartOutcome(Verdict.CONNECT_FAILED)
-    if call.delivered:
+    if call.known_delivered:
         LOG.info("hosts: %s is delivered by its first line alone: %r", call.parts[0].id, error)
         return PartOutcome(Verdict.OK, complete=True)
     return PartOutcome(Verdict.ERROR if isinstance(error, h11.RemoteProtocolError) else Verdict.RESET)
 
 
-def ends_of(body: bytes) -> dict[str, str]:
+def parse_batch_ends(body: bytes) -> dict[str, str]:
     """The end of each message of a batch."""
     lines = (line.split() for line in body.decode("latin-1").splitlines())
     return {words[0]: words[1] for words in lines if len(words) == 2}
--- a/relay/config.py
+++ b/relay/config.py
@@ -11,7 +11,7 @@
 
 from decisions.interface import Settings
 from decisions.simulator_adapter import parse_int, parse_settings
-from relay.endpoint_list import HostList, read_list
+from relay.endpoint_list import DirectoryUpdate, parse_list
 from relay.http import Address
 
 LEAST_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
@@ -37,7 +37,7 @@
     disk_bytes: int
     sockets: int
     memory_bytes: int
-    known: HostList
+    known: DirectoryUpdate
     admin: Address | None = None  # where operators call; None: nowhere
     passed_socket: int | None = None  # the descriptor on which clients come; None: listen by oneself
     folder: Path = Path()  # for what processes of this relay share and need not outlast them
@@ -127,7 +127,9 @@
             disk_bytes=int(limit_of(limits, "disk_mb", 3, 0.01) * 1_000_000),
             sockets=int(limit_of(limits, "sockets", 1024, LEAST_SOCKETS)),
             memory_bytes=int(limit_of(limits, "memory_mb", LEAST_MEMORY_MB, 1) * 1_000_000),
-            known=named("known", read_list, raw["known"]) if raw.get("known") else HostList(0, True, ()),
+            known=named("known", parse_list, raw["known"])
+            if raw.get("known")
+            else DirectoryUpdate(0, True, ()),
             passed_socket=int(passed) if (passed := environ.get("ROUTER_PASSED_SOCKET")) else None,
             folder=Path(environ.get("TMPDIR") or environ["ROUTER_STATE"]),
             admin=named("admin", address_of, admin)
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -26,9 +26,9 @@
 from relay import calls, endpoint_calls, endpoint_list
 from relay.calls import Call, Part, PartOutcome
 from relay.config import Config
-from relay.discovery import PIECE, Notice, Notices, Watch, most_line_bytes
-from relay.endpoint_calls import Hosts, Left
-from relay.endpoint_list import HostList, changes_of, pieces
+from relay.discovery import ENDPOINTS_PER_PIECE, Notice, NoticeSender, Watch, line_limit_for_memory
+from relay.endpoint_calls import CallsHandover, EndpointCalls
+from relay.endpoint_list import DirectoryUpdate, ordered_changes, split_changes
 from relay.http import Address
 from relay.journal import Attempt, Journal, JournalFullError, Recovered
 from relay.reasons import Refusal
@@ -87,7 +87,7 @@
     module: Module
     inbox: list[api.Event]
     seq: int  # of the list
-    hosts: Left
+    hosts: CallsHandover
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
         self._loop = asyncio.get_running_loop()
         self.clock = Clock()
         self._module = Module(config.settings, config.seed)
-        self._hosts = Hosts(
+        self._hosts = EndpointCalls(
             config.settings.kinds,
             config.settings.keepalive_us,
             config.connect_timeout_us,
@@ -155,13 +155,13 @@
         )
         self._watch = Watch(
             config.discovery,
-            config.known.seq,
+            config.known.version,
             told=self._listed,
             told_in_pieces=self._listed_in_pieces,
             failed=self._unlisted,
-            most_line=most_line_bytes(config.memory_bytes),
+            most_line=line_limit_for_memory(config.memory_bytes),
         )
-        self._notices = Notices(config.discovery, self._confirmed)
+        self._notices = NoticeSender(config.discovery, self._confirmed)
         self._held: dict[str, Held] = {}  # messages that owe their end to the module
         self._bodies_bytes, self._most_bodies_bytes = 0, int(config.memory_bytes * BODIES_SHARE)
         self._over: OrderedDict[str, None] = OrderedDict()
@@ -201,15 +201,19 @@
 
     def leave(self, room: int) -> tuple[Heard, Memory, list[int]]:
         """What the next process takes over, and the descriptors of what is out; for this moment alone."""
-        left, fds = self._hosts.leave(room)
-        memory = Memory(self.clock.offset_us, self._module, self._inbox, self._watch.seq, left)
-        return Heard(list(self._over), self._hosts.waits, list(self._hosts.ever)), memory, fds
+        left, fds = self._hosts.hand_over(room)
+        memory = Memory(self.clock.offset_us, self._module, self._inbox, self._watch.version, left)
+        return (
+            Heard(list(self._over), self._hosts.active_waits, list(self._hosts.remembered_hosts)),
+            memory,
+            fds,
+        )
 
     def heed(self, heard: Heard) -> None:
         """Take over from a process of any version, before the start."""
         self._over.update(dict.fromkeys(heard.over))
-        self._hosts.heed(heard.waits)
-        self._hosts.ever.update(dict.fromkeys(heard.ever))
+        self._hosts.restore_waits(heard.waits)
+        self._hosts.remembered_hosts.update(dict.fromkeys(heard.ever))
 
     def go_on(self, memory: Memory, socks: Iterator[socket.socket]) -> None:
         """Start with what a process of the same layout has left, in place of a fresh module."""
@@ -219,13 +223,13 @@
         self._inbox = memory.inbox
         self._notices.start()
         known = {event.id for event in self._inbox if isinstance(event, api.Arrival)}
-        self._hosts.take(memory.hosts, socks)
+        self._hosts.take_over(memory.hosts, socks)
         self._take_up(known | self._module.messages.keys())
         self._watch.resume(memory.seq)
 
     def _report(self) -> None:
         """A line for the people on call: what became of connections to hosts so far."""
-        counts = ", ".join(f"{count} {name}" for name, count in sorted(self._hosts.counts.items()))
+        counts = ", ".join(f"{count} {name}" for name, count in sorted(self._hosts.connection_counts.items()))
         out = len(self._hosts.calls)
         LOG.info("holds %d messages, %d calls out; connections: %s", len(self._held), out, counts)
         self._status = self._loop.call_later(STATUS_S, self._report)
@@ -242,8 +246,8 @@
 
     def follow(self, discovery: Address) -> None:
         """Watch the list at this address from now on, and post notices there."""
-        self._watch.move(discovery)
-        self._notices.move(discovery)
+        self._watch.move_to(discovery)
+        self._notices.move_to(discovery)
 
     def close(self) -> None:
         """Let go of everything."""
@@ -259,7 +263,7 @@
 
         ``JournalFullError`` where it cannot be kept: nothing has changed then.
         """
-        if not self._hosts.knows(host) and host not in self._journal.banned:
+        if not self._hosts.is_known(host) and host not in self._journal.banned:
             return False
         self._journal.ban(host, banned)
         self._leave_out(host, banned)
@@ -267,7 +271,7 @@
 
     def _leave_out(self, host: str, banned: bool) -> None:
         LOG.info("operators: %s is %s", host, "left out" if banned else "in use")
-        self._hosts.ban(host, banned)
+        self._hosts.set_banned(host, banned)
         self._post(api.Ban(host, banned))
 
     @property
@@ -275,7 +279,7 @@
         """What operators read."""
         return Figures(
             tuple(cls.name for cls in self._set.classes),
-            Counts(self._ended, self._hosts.written),
+            Counts(self._ended, self._hosts.written_messages),
             len(self._held),
             self._module.listed_count,
             self._module.excluded_count,
@@ -290,9 +294,9 @@
     def descriptors(self) -> dict[str, int]:
         """Open ones by purpose; a connection that is coming up is not counted yet."""
         return {
-            "endpoints_idle": self._hosts.idle,
-            "endpoints_busy": self._hosts.busy,
-            "discovery": self._watch.connections + self._notices.connections,
+            "endpoints_idle": self._hosts.idle_count,
+            "endpoints_busy": self._hosts.busy_count,
+            "discovery": self._watch.open_connections + self._notices.open_connections,
         }
 
     def refused(self, cls: str, why: Refusal) -> None:
@@ -303,7 +307,7 @@
     @property
     def idle(self) -> bool:
         """Whether no call is out and no notice is unconfirmed."""
-        return not self._hosts.calls and not self._notices.owed and not self._inbox
+        return not self._hosts.calls and not self._notices.unconfirmed and not self._inbox
 
     @property
     def busy_ms(self) -> int:
@@ -376,25 +380,25 @@
             former |= {"risky_age_us": max(0, now_us - first.at_us), "risky_zone": first.zone}
         self._inbox.append(self._arrival(handed, now_us, **former))
 
-    def _listed(self, news: HostList, kind: api.EndpointUpdateKind | None = None) -> None:
+    def _listed(self, news: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
         """News of the list binds calls at once and the module with its next step."""
-        self._hosts.apply(news)
+        self._hosts.apply_update(news)
         kind = kind or (api.EndpointUpdateKind.WHOLE if news.whole else api.EndpointUpdateKind.CHANGES)
-        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.hosts)))
+        self._post(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.endpoints)))
 
-    async def _listed_in_pieces(self, news: HostList) -> None:
+    async def _listed_in_pieces(self, news: DirectoryUpdate) -> None:
         """Long news as bounded changes, each one in force before the next, while all else goes on.
 
         What drains or is gone comes first, as it binds. Should it be cut off in between, what is in force is
         a part of the news, and the version that is watched from is still the old one.
         """
-        changes = changes_of(news, self._hosts.listed)
-        for number, piece in enumerate(pieces(changes, PIECE)):
-            self._hosts.apply(HostList(news.seq, False, piece))
+        changes = ordered_changes(news, self._hosts.endpoints)
+        for number, piece in enumerate(split_changes(changes, ENDPOINTS_PER_PIECE)):
+            self._hosts.apply_update(DirectoryUpdate(news.version, False, piece))
             entries = tuple(listed.entry for listed in piece)
             self._post(api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, continued=number > 0))
             await self._next_step()
-        LOG.info("discovery: version %d is in force, %d changes", news.seq, len(changes))
+        LOG.info("discovery: version %d is in force, %d changes", news.version, len(changes))
 
     async def _next_step(self) -> None:
         """Wait until the module has taken what is before it."""
@@ -415,12 +419,12 @@
             self._end(part.id, delivered=told.verdict is api.Verdict.OK)
         elif told.verdict.never_ran:
             self._journal.never_ran(part.id, part.attempt)
-        elapsed_us = int((time.monotonic() - call.sent_s) * 1e6)
+        elapsed_us = int((time.monotonic() - call.sent_at_s) * 1e6)
         if told.verdict is not api.Verdict.OK:
             LOG.info(
                 "attempt: %s #%d at %s with %d more, connection %s: %s after %d ms, wait %d ms, told %s",
-                part.id, part.attempt, call.host, len(call.parts) - 1, call.connection_was,
-                told.verdict.value, elapsed_us // 1000, told.wait_us // 1000, told.report or "nothing",
+                part.id, part.attempt, call.host, len(call.parts) - 1, call.connection_description,
+                told.verdict.value, elapsed_us // 1000, told.wait_us // 1000, told.load_report or "nothing",
             )  # fmt: skip
         self._post(
             api.Outcome(
@@ -431,9 +435,9 @@
                 elapsed_us,
                 complete,
                 told.wait_us,
-                told.report.get("x0"),
-                told.report.get("x1"),
-                told.turned_away,
+                told.load_report.get("x0"),
+                told.load_report.get("x1"),
+                told.connection_limit_reached,
             )
         )
         if complete:  # also for a part whose own time ran out before: the module must not send it again
@@ -533,18 +537,18 @@
     def _send(self, host: str, batch: list[api.Send]) -> None:
         """Sends of one step to one host share calls up to the kind's bound, journaled before any byte."""
         rest = iter(batch)
-        while chunk := list(islice(rest, self._hosts.batch(host))):
+        while chunk := list(islice(rest, self._hosts.max_batch(host))):
             self._put_off += [send for send in chunk if not self._can_end(send)]
             chunk = [send for send in chunk if send.id in self._held and self._can_end(send)]
             parts, tries, now_us = [], [], self.clock()
             for send in chunk:
                 parts.append(part := self._part(send, now_us))
-                tries.append((send.id, Attempt(part.attempt, host, self._hosts.zone(host), now_us)))
+                tries.append((send.id, Attempt(part.attempt, host, self._hosts.zone_of(host), now_us)))
             if not parts:
                 continue
             call = Call(host, parts, time.monotonic())
             if any(part.attempt for part in parts):
-                LOG.info("attempt: %s at %s begins", call.attempts, host)
+                LOG.info("attempt: %s at %s begins", call.attempts_text, host)
             try:
                 self._journal.tries(tries)
             except JournalFullError as error:
@@ -561,7 +565,7 @@
         left_us = held.handed.deadline_us - now_us
         part = Part(send.id, number, held.handed.key, held.body, send.timeout_us, left_us)
         if send.latest_begin_us:
-            part.begin_by_s = (self._step_us - self.clock.offset_us + send.latest_begin_us) / 1e6
+            part.send_by_s = (self._step_us - self.clock.offset_us + send.latest_begin_us) / 1e6
         return part
 
     def _can_end(self, send: api.Send) -> bool:
--- a/relay/listeners.py
+++ b/relay/listeners.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from relay.http import SHORT, Address
+from relay.http import RESOURCE_SHORTAGE_ERRNOS, Address
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 1024
@@ -94,7 +94,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                if error.errno not in SHORT:
+                if error.errno not in RESOURCE_SHORTAGE_ERRNOS:
                     raise
                 self._turn_away(error)
                 return
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,7 +7,7 @@
 from decisions import interface as api
 from decisions.engine import MAX_GONE_ENDPOINTS, Relay
 from relay import endpoint_calls
-from relay.endpoint_list import HostList, Listed
+from relay.endpoint_list import DirectoryUpdate, ListedEndpoint
 from tests.support import ORDERED, SAFE, SECOND, arrival, endpoint_update, entry, sends, settings
 from tests.test_endpoint_calls import Calls
 
@@ -71,13 +71,13 @@
 
 async def test_hosts_remember_so_many_names_and_waits() -> None:
     calls = Calls(1)
-    for number in range(2 * endpoint_calls.MOST_EVER):
+    for number in range(2 * endpoint_calls.MAX_REMEMBERED_HOSTS):
         gone = entry(f"x{number}", listing=api.Listing.GONE)
-        calls.hosts.apply(HostList(2, False, (Listed(gone, ("127.0.0.1", 1)),)))
+        calls.hosts.apply_update(DirectoryUpdate(2, False, (ListedEndpoint(gone, ("127.0.0.1", 1)),)))
     calls.list(1)
-    assert len(calls.hosts.ever) == endpoint_calls.MOST_EVER
-    assert "h1" in calls.hosts.ever
-    assert "x0" not in calls.hosts.ever
+    assert len(calls.hosts.remembered_hosts) == endpoint_calls.MAX_REMEMBERED_HOSTS
+    assert "h1" in calls.hosts.remembered_hosts
+    assert "x0" not in calls.hosts.remembered_hosts
 
 
 def test_a_partner_without_endpoints_is_kept_as_long_as_a_message_is_out() -> None:
--- a/tests/test_concurrent_events.py
+++ b/tests/test_concurrent_events.py
@@ -99,7 +99,7 @@
     told = await calls.outcome("m1")
     assert told.verdict is Verdict.FULL
     assert told.wait_us == 60_000_000
-    assert calls.hosts.unwritable("h1") is not None
+    assert calls.hosts.outcome_if_blocked("h1") is not None
     host.stop()
 
 
@@ -110,7 +110,7 @@
     call = calls.send("m1", "m2", limit_us=300_000)
     request = await host.call(0)
     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
-    while call.open:
+    while call.open_parts:
         request.writer.write(b"m")
         await asyncio.sleep(0)
     assert {told.verdict for told in calls.told.values()} == {Verdict.TIMEOUT}
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -16,10 +16,10 @@
 import pytest
 
 from decisions.interface import DestinationKind, Entry, Listing, Verdict
-from relay.answers import report_of, verdict_of, wait_of
+from relay.answers import parse_load_report, parse_wait_us, verdict_of
 from relay.calls import Call, Part, PartOutcome
-from relay.endpoint_calls import Hosts, Left
-from relay.endpoint_list import HostList, Listed
+from relay.endpoint_calls import CallsHandover, EndpointCalls
+from relay.endpoint_list import DirectoryUpdate, ListedEndpoint
 from relay.http import Connection
 from standins.scripted import HttpServer, Request, delivered, silent, soon
 from tests.sockets import full_backlog
@@ -33,13 +33,13 @@
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
         self.told: dict[str, PartOutcome] = {}
         self.ended = asyncio.Event()
-        self.hosts = Hosts([KIND], 15_000_000, connect_us, 10, self._settled)
+        self.hosts = EndpointCalls([KIND], 15_000_000, connect_us, 10, self._settled)
         self.list(port)
 
     def list(self, port: int, listing: Listing = Listing.READY) -> None:
         """The host as the directory lists it."""
         entry = Entry("h1", 1, "a", "banks", listing)
-        self.hosts.apply(HostList(1, False, (Listed(entry, ("127.0.0.1", port)),)))
+        self.hosts.apply_update(DirectoryUpdate(1, False, (ListedEndpoint(entry, ("127.0.0.1", port)),)))
 
     def _settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
         self.told[part.id] = told
@@ -55,7 +55,7 @@
         """One call; some messages may begin only until a time."""
         parts = [Part(ref, 0, "", body, limit_us, 60_000_000) for ref in refs]
         for part in parts:
-            part.begin_by_s = (begin_by_s or {}).get(part.id, math.inf)
+            part.send_by_s = (begin_by_s or {}).get(part.id, math.inf)
         call = Call("h1", parts, time.monotonic())
         self.hosts.send(call)
         return call
@@ -126,9 +126,9 @@
         call = calls.send(*(f"m{n}" for n in range(64)), body=bytes(65536))
         loop = asyncio.get_running_loop()
         peer, _ = await soon(loop.sock_accept(sock))
-        while call.connection is None or not call.connection.begun:
+        while call.connection is None or not call.connection.request_begun:
             await asyncio.sleep(0.01)
-        assert not call.written
+        assert not call.fully_written
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
         assert (await calls.outcome("m0")).verdict is Verdict.CONNECT_FAILED
@@ -143,7 +143,7 @@
         call = calls.send("m1", limit_us=200_000, body=bytes(16 << 20))
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
         assert call.connection is not None
-        assert call.connection.begun
+        assert call.connection.request_begun
 
 
 @asynccontextmanager
@@ -180,7 +180,7 @@
     """The loop may be late: the connection is up and the timer that tells of the end has not run."""
     host = await serving()
     calls = Calls(host.port)
-    monkeypatch.setattr(Hosts, "_schedule_window_end", lambda _hosts, _call: None)
+    monkeypatch.setattr(EndpointCalls, "_schedule_window_end", lambda _hosts, _call: None)
     async with held_up(monkeypatch) as gate:
         ends_s = time.monotonic() + 0.05
         calls.send("m1", begin_by_s={"m1": ends_s})
@@ -188,7 +188,7 @@
             await asyncio.sleep(0.01)
         gate.set()
         assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
-    assert calls.hosts.idle == 1, "the connection serves the next call"
+    assert calls.hosts.idle_count == 1, "the connection serves the next call"
     assert host.seen == []
     host.stop()
 
@@ -199,7 +199,7 @@
 ) -> None:
     """All that the call carries then never ran; with the last byte it would run, late."""
     if not timed:  # the peer reads on at the very moment at which the window is over
-        monkeypatch.setattr(Hosts, "_schedule_window_end", lambda _hosts, _call: None)
+        monkeypatch.setattr(EndpointCalls, "_schedule_window_end", lambda _hosts, _call: None)
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
@@ -210,7 +210,7 @@
         call = calls.send(*names, body=bytes(65536), begin_by_s={"m0": ends_s})
         loop = asyncio.get_running_loop()
         peer, _ = await soon(loop.sock_accept(sock))
-        while call.connection is None or not call.connection.begun:
+        while call.connection is None or not call.connection.request_begun:
             await asyncio.sleep(0.01)
         while time.monotonic() < ends_s:
             await asyncio.sleep(0.01)
@@ -275,7 +275,7 @@
     assert (await calls.outcome("m1")).verdict is verdict
     while calls.hosts.calls:
         await asyncio.sleep(0)
-    assert calls.hosts.idle == kept
+    assert calls.hosts.idle_count == kept
     host.stop()
 
 
@@ -346,7 +346,7 @@
     calls = Calls(host.port)
     call = calls.send("m1", "m2")
     request = await host.call(0)
-    calls.hosts._stop(call, call.parts[0], Verdict.TIMEOUT)
+    calls.hosts._end_part(call, call.parts[0], Verdict.TIMEOUT)
     assert calls.told["m1"] == PartOutcome(Verdict.TIMEOUT)
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
@@ -366,7 +366,7 @@
     while not (parts[0].overdue or calls.told):
         await asyncio.sleep(0.01)
     assert calls.told == {}
-    calls.hosts._late(call, parts[1])
+    calls.hosts._on_limit_passed(call, parts[1])
     assert calls.told == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
     while host.writers:
         await asyncio.sleep(0.01)
@@ -410,7 +410,7 @@
     while host.writers:
         calls.hosts.close_idle("h1")
         await asyncio.sleep(0.01)
-    calls.hosts._idle._idle_s = 0.05
+    calls.hosts._idle_pool._max_idle_s = 0.05
     calls.send("m2")
     await calls.outcome("m2")
     while host.writers:
@@ -419,12 +419,12 @@
     host.stop()
 
 
-def passed_on(giver: Calls, room: int) -> tuple[Calls, Left]:
+def passed_on(giver: Calls, room: int) -> tuple[Calls, CallsHandover]:
     """Another process's hosts with what was left, over the same bytes and copies of the descriptors."""
-    left, fds = giver.hosts.leave(room)
+    left, fds = giver.hosts.hand_over(room)
     left = pickle.loads(pickle.dumps(left))
     taker = Calls(1)
-    taker.hosts.take(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    taker.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     return taker, left
 
 
@@ -443,7 +443,7 @@
     giver = Calls(host.port)
     call = giver.send("m1", limit_us=60_000_000)
     await host.call(0)
-    call.sent_s -= 59.9  # as if it had been out so long
+    call.sent_at_s -= 59.9  # as if it had been out so long
     taker, _ = passed_on(giver, 100)
     assert (await taker.outcome("m1")).verdict is Verdict.TIMEOUT
     giver.hosts.close()
@@ -460,7 +460,7 @@
     for ref in ("m1", "m2"):
         await giver.outcome(ref)
     taker, left = passed_on(giver, 1)
-    assert len(left.idle) == 1
+    assert len(left.idle_connections) == 1
     giver.hosts.close()
     taker.list(host.port)
     taker.send("m3")
@@ -480,7 +480,7 @@
     host = await serving(turned_away)
     calls = Calls(host.port)
     calls.send("m1")
-    assert await calls.outcome("m1") == PartOutcome(Verdict.CONNECT_FAILED, turned_away=True)
+    assert await calls.outcome("m1") == PartOutcome(Verdict.CONNECT_FAILED, connection_limit_reached=True)
     host.default = delivered
     calls.send("m2")
     await calls.outcome("m2")
@@ -500,10 +500,10 @@
     idle: list[int] = []
 
     def told(_call: Call, _part: Part, _told: PartOutcome) -> None:
-        idle.append(calls.hosts.idle)
+        idle.append(calls.hosts.idle_count)
         calls.ended.set()
 
-    calls.hosts._settled = told
+    calls.hosts._on_settled = told
     calls.send("m1")
     await soon(calls.ended.wait())
     assert idle == [1]
@@ -515,7 +515,7 @@
     left.setblocking(False)
     connection = Connection(left, ("127.0.0.1", 1))
     task = asyncio.create_task(connection.send(bytes(8 << 20)))
-    while not connection.begun:
+    while not connection.request_begun:
         await asyncio.sleep(0)
     task.cancel()
     await asyncio.wait([task])
@@ -524,7 +524,7 @@
     left.shutdown(socket.SHUT_WR)
     while data := await soon(asyncio.get_running_loop().sock_recv(right, 1 << 20)):
         received += len(data)
-    assert received + connection.unsent == 8 << 20
+    assert received + connection.unsent_bytes == 8 << 20
     left.close()
     right.close()
 
@@ -554,9 +554,9 @@
     calls.send("m1")
     await calls.outcome("m1")
     host.stop()
-    while not calls.hosts.counts["ended by host"]:
+    while not calls.hosts.connection_counts["ended by host"]:
         await asyncio.sleep(0)
-    assert not calls.hosts.idle
+    assert not calls.hosts.idle_count
 
 
 async def test_an_early_answer_to_a_request_that_is_still_written_does_not_spin(
@@ -578,8 +578,8 @@
     for _ in range(20):
         await asyncio.sleep(0)
     assert told == [1]
-    connection.request("POST", "/", [], b"x")
-    assert (await soon(connection.response())).status_code == 200
+    connection.build_request("POST", "/", [], b"x")
+    assert (await soon(connection.read_response())).status_code == 200
     connection.close()
     right.close()
 
@@ -616,7 +616,7 @@
 )
 def test_waits_and_reports(wait: str, pressure: str, wait_us: int, report: dict[str, float]) -> None:
     answer = h11.Response(status_code=200, headers=[("X-Retry-In-Ms", wait), ("X-Pressure", pressure)])
-    assert (wait_of(answer), report_of(answer)) == (wait_us, report)
+    assert (parse_wait_us(answer), parse_load_report(answer)) == (wait_us, report)
 
 
 async def test_a_call_that_goes_to_another_process_is_logged_on_both_sides(
@@ -629,10 +629,10 @@
     call = calls.send("m1")
     await host.call(0)
     assert call.connection is not None
-    port = call.connection.own_port
-    left, fds = calls.hosts.leave(10)
+    port = call.connection.local_port
+    left, fds = calls.hosts.hand_over(10)
     after = Calls(host.port)
-    after.hosts.take(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     lines = [line for line in caplog.messages if line.startswith("handover: call to h1 with m1 #0")]
     assert ["given after" in line for line in lines] == [True, False]
     assert ["taken over after" in line for line in lines] == [False, True]
@@ -650,18 +650,18 @@
     calls.send("m1")
     await host.call(0)
     if not started:
-        left, fds = calls.hosts.leave(10)
+        left, fds = calls.hosts.hand_over(10)
         given = [socket.socket(fileno=os.dup(fd)) for fd in fds]
         calls.hosts.close()
         calls = Calls(host.port)
-        calls.hosts.take(left, iter(given))
+        calls.hosts.take_over(left, iter(given))
     open_when_told = list[bool]()
 
     def settled(call: Call, _part: Part, _told: PartOutcome) -> None:
         assert call.connection is not None
         open_when_told.append(call.connection.sock.fileno() >= 0)
 
-    calls.hosts._settled = settled
+    calls.hosts._on_settled = settled
     calls.hosts.cancel("m1", 0)
     assert open_when_told == [False]
     assert calls.hosts.calls == set()
@@ -676,7 +676,7 @@
         sock.listen(1)
         calls = Calls(sock.getsockname()[1])
         call = calls.send("m1", body=bytes(16 << 20))
-        while call.connection is None or not call.connection._writing:
+        while call.connection is None or not call.connection._writer_added:
             await asyncio.sleep(0.01)
         descriptor, task = call.connection.sock.fileno(), call.task
         calls.hosts.cancel("m1", 0)
@@ -693,14 +693,14 @@
     calls = Calls(host.port)
     calls.send("m1")
     request = await host.call(0)
-    left, fds = calls.hosts.leave(10)
+    left, fds = calls.hosts.hand_over(10)
     request.answer(429, X_Retry_In_Ms="60000")
     await request.writer.drain()
     after = Calls(host.port)
-    after.hosts.take(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     after.hosts.cancel("m1", 0)
     assert (await after.outcome("m1")).verdict is Verdict.FULL
-    assert after.hosts.wait_left_us("h1") > 0
+    assert after.hosts.remaining_wait_us("h1") > 0
     host.stop()
 
 
@@ -736,7 +736,7 @@
         while not parts[0].overdue:
             await asyncio.sleep(0.01)
         assert call.connection is not None
-        assert not call.connection.begun
+        assert not call.connection.request_begun
         assert calls.told == {}
         calls.hosts.cancel("m2", 0)
         calls.hosts.cancel("m1", 0)
@@ -770,14 +770,14 @@
     host = await serving(spoilt)
     calls = Calls(host.port)
     open_when_told = dict[str, bool]()
-    tell = calls.hosts._settled
+    tell = calls.hosts._on_settled
 
     def settled(call: Call, part: Part, told: PartOutcome) -> None:
         assert call.connection is not None
         open_when_told[part.id] = call.connection.sock.fileno() >= 0
         tell(call, part, told)
 
-    calls.hosts._settled = settled
+    calls.hosts._on_settled = settled
     calls.send("m1", "m2")
     expected = Verdict.ERROR if status == 500 else Verdict.FULL
     assert [await calls.outcome(ref) for ref in ("m1", "m2")] == 2 * [PartOutcome(expected, wait_us=5_000)]
@@ -795,7 +795,7 @@
     host = await serving(writes(b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n"))
     calls = Calls(host.port)
     call = calls.send("m1")
-    while call.proved is None:
+    while call.head_outcome is None:
         await asyncio.sleep(0.001)
     calls.hosts.cancel("m1", 0)
     assert calls.told["m1"] == PartOutcome(Verdict.FULL)
@@ -824,7 +824,7 @@
     calls = Calls(host.port)
     calls.send("m1", "m2")
     request = await host.call(0)
-    left, fds = calls.hosts.leave(10)
+    left, fds = calls.hosts.hand_over(10)
     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-")
     await request.writer.drain()
     after = Calls(host.port)
@@ -834,8 +834,8 @@
         assert call.connection is not None
         open_when_told[part.id] = call.connection.sock.fileno() >= 0
 
-    after.hosts._settled = settled
-    after.hosts.take(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.hosts._on_settled = settled
+    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     for ref in ("m1", "m2"):
         after.hosts.cancel(ref, 0)
     while len(open_when_told) < 2:
@@ -854,7 +854,7 @@
     call = calls.send("m1", limit_us=300_000 if how == "timed out" else 20_000_000)
     request = await host.call(0)
     assert call.connection is not None
-    _, fds = calls.hosts.leave(10)
+    _, fds = calls.hosts.hand_over(10)
     copy = os.dup(fds[0])
     if how == "called off":
         calls.hosts.cancel("m1", 0)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -13,8 +13,15 @@
 
 from decisions import interface as api
 from decisions.engine import Relay
-from relay.discovery import LineBuffer, most_line_bytes
-from relay.endpoint_list import HostList, Listed, ListReader, changes_of, pieces, read_list
+from relay.discovery import LineBuffer, line_limit_for_memory
+from relay.endpoint_list import (
+    DirectoryUpdate,
+    IncrementalListParser,
+    ListedEndpoint,
+    ordered_changes,
+    parse_list,
+    split_changes,
+)
 from tests.support import entry, settings
 from tests.test_endpoint_calls import Calls
 
@@ -28,17 +35,17 @@
     return {"host": name, "dial": dial, "site": "a", "class": "plain", "block": block, "health": health}
 
 
-def listed(name: str, listing: api.Listing = api.Listing.READY, dest: int = 1) -> Listed:
+def listed(name: str, listing: api.Listing = api.Listing.READY, dest: int = 1) -> ListedEndpoint:
     """A host as it is listed."""
-    return Listed(entry(name, dest, listing=listing), ("10.0.0.1", PORT))
+    return ListedEndpoint(entry(name, dest, listing=listing), ("10.0.0.1", PORT))
 
 
-def read_by(line: bytes, most: int) -> HostList:
+def read_by(line: bytes, most: int) -> DirectoryUpdate:
     """A line read by so many hosts at a time."""
-    reader = ListReader(line)
-    while not reader.read(most):
+    reader = IncrementalListParser(line)
+    while not reader.parse(most):
         pass
-    return reader.news()
+    return reader.finish()
 
 
 hosts = st.lists(
@@ -54,7 +61,7 @@
     """Whatever the order of its keys, indented or not, with a host that cannot be read."""
     values = {"seq": 7, "whole": whole, "hosts": [*some, {"host": "unreadable"}, told_host("last")]}
     line = json.dumps({key: values[key] for key in order}, indent=indent).encode()
-    assert read_by(line, most) == read_list(json.loads(line))
+    assert read_by(line, most) == parse_list(json.loads(line))
 
 
 @pytest.mark.parametrize(
@@ -66,14 +73,14 @@
     ],
 )
 def test_lines_unlike_the_usual_are_read_too(text: str) -> None:
-    assert read_by(text.encode(), 2) == HostList(1, True, ())
+    assert read_by(text.encode(), 2) == DirectoryUpdate(1, True, ())
 
 
 def test_hosts_that_are_not_the_lines_own_do_not_count() -> None:
     inner, outer = told_host("inner"), told_host("outer")
     raw = {"more": {"hosts": [inner]}, "seq": 1, "whole": True, "hosts": [outer]}
     found = read_by(json.dumps(raw).encode(), 1)
-    assert [host.entry.host for host in found.hosts] == ["outer"]
+    assert [host.entry.host for host in found.endpoints] == ["outer"]
 
 
 @pytest.mark.parametrize(
@@ -95,11 +102,11 @@
 
 def test_a_reader_takes_no_more_hosts_at_a_time_than_it_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     line = json.dumps({"seq": 1, "whole": True, "hosts": [told_host(f"h{n}") for n in range(10)]}).encode()
-    reader, turns = ListReader(line), 1
-    while not reader.read(3):
+    reader, turns = IncrementalListParser(line), 1
+    while not reader.parse(3):
         turns += 1
     assert turns == 4
-    assert len(reader.news().hosts) == 10
+    assert len(reader.finish().endpoints) == 10
 
 
 listings = st.builds(
@@ -107,11 +114,13 @@
 )
 
 
-def follow(feed: Callable[[Calls, Relay], None], known: list[Listed]) -> tuple[dict[str, Listed], Any]:
+def follow(
+    feed: Callable[[Calls, Relay], None], known: list[ListedEndpoint]
+) -> tuple[dict[str, ListedEndpoint], Any]:
     """What the network code and the module hold after some news, with what they knew before."""
     calls, module = Calls(1), Relay(settings(), 1)
     if known:
-        calls.hosts.apply(HostList(1, True, tuple(known)))
+        calls.hosts.apply_update(DirectoryUpdate(1, True, tuple(known)))
         module.step(
             0, [api.EndpointUpdate(api.EndpointUpdateKind.CACHED, tuple(item.entry for item in known))]
         )
@@ -121,28 +130,28 @@
         for host, endpoint in module.endpoints.items()
         if endpoint.listing is not api.Listing.GONE
     }
-    return calls.hosts.listed, ready
+    return calls.hosts.endpoints, ready
 
 
 @given(st.lists(listings, max_size=8), st.lists(listings, max_size=8), st.booleans(), st.integers(1, 3))
 async def test_pieces_come_to_the_same_as_the_news_at_once(
-    known: list[Listed], hosts: list[Listed], whole: bool, most: int
+    known: list[ListedEndpoint], hosts: list[ListedEndpoint], whole: bool, most: int
 ) -> None:
     """For the network code and for the module, also where nothing was known or nothing is left."""
     known = [item for item in known if item.entry.listing is not api.Listing.GONE]
-    news = HostList(2, whole, tuple(hosts))
+    news = DirectoryUpdate(2, whole, tuple(hosts))
 
     def at_once(calls: Calls, module: Relay) -> None:
         changes = {item.entry.host: item for item in hosts}  # of a host that is named twice the last counts
         entries = tuple(item.entry for item in changes.values())
-        calls.hosts.apply(news)
+        calls.hosts.apply_update(news)
         kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
         module.step(5_000, [api.EndpointUpdate(kind, entries)])
 
     def by_pieces(calls: Calls, module: Relay) -> None:
-        for number, piece in enumerate(pieces(changes_of(news, calls.hosts.listed), most)):
+        for number, piece in enumerate(split_changes(ordered_changes(news, calls.hosts.endpoints), most)):
             assert len(piece) <= most
-            calls.hosts.apply(HostList(2, False, piece))
+            calls.hosts.apply_update(DirectoryUpdate(2, False, piece))
             entries = tuple(item.entry for item in piece)
             module.step(
                 5_000 * (number + 1),
@@ -153,9 +162,11 @@
 
 
 @given(st.lists(listings, max_size=12), st.lists(listings, max_size=12))
-def test_what_goes_or_drains_comes_before_what_serves(known: list[Listed], hosts: list[Listed]) -> None:
+def test_what_goes_or_drains_comes_before_what_serves(
+    known: list[ListedEndpoint], hosts: list[ListedEndpoint]
+) -> None:
     before = {item.entry.host: item for item in known if item.entry.listing is not api.Listing.GONE}
-    changes = changes_of(HostList(2, True, tuple(hosts)), before)
+    changes = ordered_changes(DirectoryUpdate(2, True, tuple(hosts)), before)
     order = [item.entry.listing for item in changes]
     urgency = [api.Listing.GONE, api.Listing.DRAINING, api.Listing.READY]
     assert order == sorted(order, key=urgency.index)
@@ -164,7 +175,7 @@
 
 
 def test_news_without_a_change_is_one_empty_piece() -> None:
-    assert list(pieces([], 5)) == [()]
+    assert list(split_changes([], 5)) == [()]
 
 
 @given(st.lists(st.binary(max_size=6), max_size=12))
@@ -187,5 +198,5 @@
 
 
 def test_the_bound_on_a_line_follows_the_memory() -> None:
-    assert most_line_bytes(32_000_000) == 1 << 20
-    assert most_line_bytes(400_000_000) == 10_000_000
+    assert line_limit_for_memory(32_000_000) == 1 << 20
+    assert line_limit_for_memory(400_000_000) == 10_000_000
--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -10,7 +10,7 @@
 
 from decisions import interface as api
 from decisions.engine import MAX_GONE_ENDPOINTS, Relay
-from relay.endpoint_list import HostList, Listed
+from relay.endpoint_list import DirectoryUpdate, ListedEndpoint
 from relay.journal import Journal
 from standins.scripted import World, soon
 from tests.support import KEYED, SECOND, arrival, ended, endpoint_update, entry, sends, settings
@@ -119,8 +119,8 @@
 
 async def test_waits_of_a_thousand_routes_stand_side_by_side() -> None:
     calls = Calls(1)
-    news = tuple(Listed(entry(f"h{n}", n, "banks"), ("127.0.0.1", 1)) for n in range(MANY))
-    calls.hosts.apply(HostList(1, True, news))
-    calls.hosts.heed({f"h{n}": time.monotonic() + 60 for n in range(MANY)})
-    assert all(calls.hosts.wait_left_us(f"h{n}") for n in range(MANY))
-    assert len(calls.hosts.waits) == MANY
+    news = tuple(ListedEndpoint(entry(f"h{n}", n, "banks"), ("127.0.0.1", 1)) for n in range(MANY))
+    calls.hosts.apply_update(DirectoryUpdate(1, True, news))
+    calls.hosts.restore_waits({f"h{n}": time.monotonic() + 60 for n in range(MANY)})
+    assert all(calls.hosts.remaining_wait_us(f"h{n}") for n in range(MANY))
+    assert len(calls.hosts.active_waits) == MANY
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -13,7 +13,7 @@
 from decisions.interface import Action, EndpointUpdate, Event, Listing
 from relay import discovery
 from relay.config import Config, load
-from relay.discovery import LONG_LINE, PIECE
+from relay.discovery import ENDPOINTS_PER_PIECE, LONG_LINE_BYTES
 from relay.driver import Driver
 from relay.journal import Journal
 from standins.scripted import Request, World, soon
@@ -64,7 +64,7 @@
     @property
     def version(self) -> int:
         """The version from which the list would be watched again."""
-        return self._watch.seq
+        return self._watch.version
 
     async def until_known(self, count: int) -> None:
         """Wait until the module knows so many endpoints."""
@@ -127,7 +127,7 @@
     driver = follow(world)
     await driver.until_known(MANY)
     await driver.until_version(world.directory.seq)
-    assert max(map(len, driver.module.taken)) == PIECE
+    assert max(map(len, driver.module.taken)) == ENDPOINTS_PER_PIECE
     assert sum(map(len, driver.module.taken)) == MANY
     assert not any(endpoint.joined_late for endpoint in driver.module.endpoints.values()), "all came at once"
     driver.close()
@@ -142,12 +142,14 @@
     await tell_all(world, request)
     await driver.until_known(2 * MANY)
     put(world, told_hosts(3, name="u"))
-    world.directory.hosts |= {host["host"]: host for host in told_hosts(LONG_LINE // 100, "DRAINING", "v")}
+    world.directory.hosts |= {
+        host["host"]: host for host in told_hosts(LONG_LINE_BYTES // 100, "DRAINING", "v")
+    }
     await tell_all(world, request)
     await driver.until_version(world.directory.seq)
     listed = {host for host, e in driver.module.endpoints.items() if e.listing is Listing.READY}
     assert listed == {host["host"] for host in told_hosts(3, name="u")}
-    assert max(map(len, driver.module.taken)) == PIECE
+    assert max(map(len, driver.module.taken)) == ENDPOINTS_PER_PIECE
     driver.close()
 
 
@@ -244,8 +246,8 @@
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Longer than the first line of a watch may take, and than the module waits until it asks again."""
-    monkeypatch.setattr(discovery, "FIRST_S", 0.5)
-    monkeypatch.setattr(discovery, "QUIET_S", 0.5)
+    monkeypatch.setattr(discovery, "FIRST_LIST_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.5)
     line = whole_line(told_hosts(6 * MANY))
     part = 80 * 1024
     world.directory.script.append(slowly(line, part, 0.3))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -380,4 +380,4 @@
     """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
     asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
     assert discovery.POST_S[0] + discovery.AGAIN_S[0] < 0.3
-    assert 2 < discovery.QUIET_S < 6 - asked_again_s
+    assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - asked_again_s
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -92,7 +92,7 @@
     world.directory.script += [lambda _request: None, lambda request: request.answer(503)]
     await world.run()
     asks = [await world.directory.call(number) for number in range(3)]
-    assert asks[1].at_s - asks[0].at_s < discovery.FIRST_S + 2
+    assert asks[1].at_s - asks[0].at_s < discovery.FIRST_LIST_TIMEOUT_S + 2
     assert asks[2].at_s - asks[1].at_s < 2
 
 
