--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -125,7 +125,7 @@
 ) -> Intake:
     await world.start()
     config = load(world.environment())
-    journal = Journal(config.state, config.disk_bytes)
+    journal = Journal(config.state_dir, config.disk_bytes)
     driver = driver_type(config, journal)
     try:
         before_bytes = resident_bytes()
--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -6,14 +6,14 @@
 import time
 from pathlib import Path
 
-from relay.resource_usage import memory_of
+from relay.resource_usage import read_memory_bytes
 
 OWN_FOLDER = Path("/proc/self")
 
 
 def resident_bytes() -> int:
     """Memory that this process holds now, by the system's accounting."""
-    return memory_of(OWN_FOLDER)["VmRSS"]
+    return read_memory_bytes(OWN_FOLDER)["VmRSS"]
 
 
 def processor_seconds() -> float:
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -17,7 +17,7 @@
 from relay.driver import Driver
 from relay.endpoint_list import DirectoryUpdate
 from relay.journal import Journal
-from relay.resource_usage import memory_of
+from relay.resource_usage import read_memory_bytes
 
 NOWHERE = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
 ROOM = 1_000_000  # messages more than recovered, which a relay may hold
@@ -42,14 +42,14 @@
         name="relay",
         listen=NOWHERE,
         discovery=NOWHERE,
-        state=folder,
+        state_dir=folder,
         seed=1,
         settings=settings(hold_cap=messages + ROOM),
         connect_timeout_us=1_000_000,
         disk_bytes=disk_bytes,
-        sockets=4 * DOWN,
+        max_sockets=4 * DOWN,
         memory_bytes=1 << 40,
-        known=DirectoryUpdate(0, True, ()),
+        initial_hosts=DirectoryUpdate(0, True, ()),
     )
 
 
@@ -58,7 +58,7 @@
     before_bytes, begun_s = resident_bytes(), time.monotonic()
     journal = Journal(folder, disk_bytes)
     journal_s = time.monotonic() - begun_s
-    peak_bytes, recovered = memory_of(Path("/proc/self"))["VmHWM"], len(journal.recovered)
+    peak_bytes, recovered = read_memory_bytes(Path("/proc/self"))["VmHWM"], len(journal.recovered)
     driver = Driver(config(folder, disk_bytes, recovered), journal, _broken)
     begun_s = time.monotonic()
     driver.start()
--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -14,7 +14,7 @@
 from fleetlab.scale.subjects.backlog import ample_bytes, disk_bytes, fill
 from relay.driver import BODIES_SHARE
 from relay.journal import Journal
-from relay.resource_usage import memory_of
+from relay.resource_usage import read_memory_bytes
 from standins.scripted import Client, World, settings_json, silent
 
 ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
@@ -82,7 +82,7 @@
         await answered(world)
         pong_s = time.monotonic() - begun_s
         held = (await world.figures())["in_flight"]
-        memory = memory_of(Path(f"/proc/{process.pid}"))
+        memory = read_memory_bytes(Path(f"/proc/{process.pid}"))
     finally:
         await world.stop()
     return [
--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -20,13 +20,13 @@
 from itertools import islice
 
 from relay import config
-from relay.admin import FORMER_S, Admin, Desk
+from relay.admin import PREDECESSOR_ADDRESS_S, AdminServer, RequestHandler
 from relay.clients import Server
 from relay.driver import Counts, Driver, Heard, layout
 from relay.handover import Estate, Inheritance, Lock, Offer, succeed
 from relay.journal import Journal
-from relay.listeners import Listener, bound, freed, passed
-from relay.resource_usage import Counted, Ledger
+from relay.listeners import Listener, duplicate_socket, listen_at, listen_when_free
+from relay.resource_usage import CostReporter, RelayCounters
 
 LOG = logging.getLogger("relay")
 SERVE_S = 2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
@@ -46,31 +46,33 @@
         # will ask, and to read them costs a fifteenth of a start.
         self._cfg, self._layout = cfg, layout(cfg.settings) if cfg.passed_socket is not None else ""
         self.ended: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self.admin = Admin()
+        self.admin = AdminServer()
         self._costs: asyncio.TimerHandle | None = None  # of the next line on costs
         # Without a passed socket no other process could accept this one's clients.
-        self._path = cfg.folder / "handover.sock"
-        self.lock = Lock(cfg.state)
+        self._path = cfg.shared_dir / "handover.sock"
+        self.lock = Lock(cfg.state_dir)
 
     async def start(self) -> None:
         """Become the relay, with what the process before gives or what the journal holds."""
         cfg = self._cfg
         if cfg.admin is not None:
             # The relay still answers there for a while where the process before it did.
-            await self.admin.start(await freed(cfg.admin, FORMER_S + 1))
+            await self.admin.start(await listen_when_free(cfg.admin, PREDECESSOR_ADDRESS_S + 1))
         given = await succeed(self.lock, self._path, self._layout)
-        self.journal = Journal(cfg.state, cfg.disk_bytes)
+        self.journal = Journal(cfg.state_dir, cfg.disk_bytes)
         self.driver = Driver(cfg, self.journal, self._crashed)
-        self.server = Server(self.driver, cfg.sockets // 2, cfg.memory_bytes)
+        self.server = Server(self.driver, cfg.max_sockets // 2, cfg.memory_bytes)
         if given is None:
             self.driver.start()
         else:
             await self._take(given)
-        sock = bound(cfg.listen) if cfg.passed_socket is None else passed(cfg.passed_socket)
+        sock = listen_at(cfg.listen) if cfg.passed_socket is None else duplicate_socket(cfg.passed_socket)
         await self.server.start(sock)
         release = given.giver.close if given is not None else lambda: None
-        self.ledger = Ledger(self._counted)
-        self.admin.desk = Desk(self.driver, lambda: self.server.serving, release, self.ledger.lines)
+        self.ledger = CostReporter(self._counted)
+        self.admin.handler = RequestHandler(
+            self.driver, lambda: self.server.serving, release, self.ledger.lines
+        )
         if cfg.admin is None:  # nobody will ask
             release()
         else:
@@ -87,23 +89,23 @@
         if cfg.passed_socket is not None:
             self.offer.start()
 
-    def _counted(self) -> Counted:
+    def _counted(self) -> RelayCounters:
         """What the parts know of their cost."""
         counts = self.driver.figures.counts
-        return Counted(
-            ended=counts.ended.total(),
+        return RelayCounters(
+            ended_messages=counts.ended.total(),
             module_us=self.driver.module_us,
             journal_bytes=self.journal.written_bytes,
             journal_writes=self.journal.writes,
             descriptors={
-                "clients": self.server.connections,
+                "clients": self.server.connection_count,
                 **self.driver.descriptors,
-                "operators": len(self.admin.callers),
+                "operators": len(self.admin.connections),
                 "files": FILES,
             },
             calls=self.driver.calls,
-            partings={str(why): count for why, count in self.server.partings.items()},
-            refusals={str(why): count for why, count in self.driver.refusals.items()},
+            ended_clients={str(why): count for why, count in self.server.ended_counts.items()},
+            refused_messages={str(why): count for why, count in self.driver.refusals.items()},
         )
 
     def _tell_costs_later(self) -> None:
@@ -140,8 +142,8 @@
 
     def _estate(self, same: bool) -> Estate:
         """All that the next process takes over: the admin's socket, the clients' and those of what is out."""
-        clients, fds = self.server.leave()
-        heard, memory, out = self.driver.leave(self._cfg.sockets // 2 - len(fds) - SPARE)
+        clients, fds = self.server.export_clients()
+        heard, memory, out = self.driver.leave(self._cfg.max_sockets // 2 - len(fds) - SPARE)
         own = [listener.sock.fileno() for listener in self.admin.listeners[:1]]
         counts = self.driver.figures.counts
         told = {
@@ -158,14 +160,14 @@
         told, socks = given.told, iter(given.socks)
         former = Counts(Counter({(cls, end): count for cls, end, count in told["ended"]}), told["attempts"])
         for sock in islice(socks, told["admin"]):
-            await self.admin.take(sock, former)
+            await self.admin.take_over(sock, former)
         clients = list(islice(socks, len(told["clients"])))
         self.driver.heed(Heard(**told["heard"]))
         if given.memory:
             self.driver.go_on(pickle.loads(given.memory), socks)
         else:
             self.driver.start()
-        await self.server.take(told["clients"], clients)
+        await self.server.restore_clients(told["clients"], clients)
         LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(given.memory))
 
     def close(self) -> None:
@@ -201,7 +203,7 @@
     if moved.is_set():
         reload(service.driver)
     LOG.info("%s serves at %s:%d", cfg.name, *cfg.listen)
-    LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.sockets)
+    LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.max_sockets)
     stop = loop.create_task(shut_down(terminated, service))
     both: set[asyncio.Future[Any]] = {stop, service.ended}
     await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
@@ -215,7 +217,7 @@
 def reload(driver: Driver) -> None:
     """After SIGHUP: discovery has moved; a file that cannot be used changes nothing."""
     try:
-        address = config.discovery_of(os.environ)
+        address = config.read_discovery_address(os.environ)
     except config.ConfigError as error:
         LOG.error("SIGHUP: the configuration cannot be used: %s", error)
         return
@@ -235,9 +237,11 @@
     service.offer.close()  # what is not given by now goes through the journal
     start_s = asyncio.get_running_loop().time()
     driver.shut_down(start_s + LAST_S)
-    await until(start_s + SERVE_S, lambda: not server.connections and driver.idle, start_s + 0.5)
-    server.end_clients()
-    await until(start_s + LAST_S, lambda: not server.connections and driver.idle, start_s + SERVE_S + 0.3)
+    await until(start_s + SERVE_S, lambda: not server.connection_count and driver.idle, start_s + 0.5)
+    server.close_clients()
+    await until(
+        start_s + LAST_S, lambda: not server.connection_count and driver.idle, start_s + SERVE_S + 0.3
+    )
     await answer_what_came(server)
     LOG.info("SIGTERM: shut down")
 
--- a/relay/admin.py
+++ b/relay/admin.py
@@ -22,16 +22,22 @@
 from relay.listeners import Listener
 
 LOG = logging.getLogger(__name__)
-PATIENCE_S = 5.0  # s for a whole call
-LINGER_S = 0.4  # s that a caller may take to close behind its answer
-MOST_CALLERS = 16  # connections at once; the one that was silent longest goes before a new one is kept out
-MOST_BODY = 4096  # bytes of a call's body, which means nothing
-HEALTH, STATS, COST = "/admin/health", "/admin/stats", "/admin/cost"
-CORDON, UNCORDON = "/admin/cordon", "/admin/uncordon"
-METHODS = {HEALTH: b"GET", STATS: b"GET", COST: b"GET", CORDON: b"PUT", UNCORDON: b"PUT"}
-PREFIX = "app"
-FORMER_S = 3.0  # s in which the address of the process before is answered too
-NOTHING = Counts(Counter(), 0)
+CALL_TIMEOUT_S = 5.0  # s for a whole call
+LINGER_TIMEOUT_S = 0.4  # s that a caller may take to close behind its answer
+MAX_CONNECTIONS = 16  # connections at once; the one that was silent longest goes before a new one is kept out
+MAX_BODY_BYTES = 4096  # bytes of a call's body, which means nothing
+HEALTH_PATH, STATS_PATH, COST_PATH = "/admin/health", "/admin/stats", "/admin/cost"
+CORDON_PATH, UNCORDON_PATH = "/admin/cordon", "/admin/uncordon"
+METHOD_BY_PATH = {
+    HEALTH_PATH: b"GET",
+    STATS_PATH: b"GET",
+    COST_PATH: b"GET",
+    CORDON_PATH: b"PUT",
+    UNCORDON_PATH: b"PUT",
+}
+FIGURE_PREFIX = "app"
+PREDECESSOR_ADDRESS_S = 3.0  # s in which the address of the process before is answered too
+NO_COUNTS = Counts(Counter(), 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +58,7 @@
         return told + [(b"Allow", self.allow)] * bool(self.allow)
 
 
-def rendered(figures: Figures, former: Counts) -> str:
+def render_figures(figures: Figures, former: Counts) -> str:
     """The figures in the operators' form, one a line; those of a process before are counted on."""
     counts = former + figures.counts
 
@@ -65,10 +71,10 @@
         yield f"endpoints_known:{figures.endpoints_known}|g"
         yield f"endpoints_excluded:{figures.endpoints_excluded}|g"
 
-    return "".join(f"{PREFIX}.{line}\n" for line in lines())
+    return "".join(f"{FIGURE_PREFIX}.{line}\n" for line in lines())
 
 
-def endpoint_of(query: str) -> str | None:
+def parse_endpoint_id(query: str) -> str | None:
     """The one endpoint that a call names; None where it names none, or several."""
     try:
         pairs = parse_qsl(query, strict_parsing=True, errors="strict")
@@ -78,7 +84,7 @@
     return names[0] if len(names) == 1 else None
 
 
-class Desk:
+class RequestHandler:
     """Answers whole calls."""
 
     def __init__(
@@ -88,28 +94,28 @@
         said_yes: Callable[[], None],
         costs: Callable[[], Iterable[str]],
     ) -> None:
-        self._driver, self._takes_clients, self._said_yes = driver, takes_clients, said_yes
-        self._costs = costs  # a line for each figure of what the process uses
+        self._driver, self._takes_clients, self._on_healthy = driver, takes_clients, said_yes
+        self._cost_lines = costs  # a line for each figure of what the process uses
 
     def answer(self, method: bytes, target: bytes, former: Counts) -> Answer:
         """The answer to one call, at the address of a process that counted so much before."""
         path, _, query = target.decode("latin-1").partition("?")
-        if (allowed := METHODS.get(path)) is None:
+        if (allowed := METHOD_BY_PATH.get(path)) is None:
             return Answer(404, "no such call\n")
         if method != allowed:
             return Answer(405, f"this call is a {allowed.decode()}\n", allowed)
-        if path == HEALTH:
+        if path == HEALTH_PATH:
             return self._health()
-        if path == STATS:
-            return Answer(200, rendered(self._driver.figures, former))
-        if path == COST:
-            return Answer(200, "".join(f"{PREFIX}.{line}\n" for line in self._costs()))
-        return self._ban(endpoint_of(query), path == CORDON)
+        if path == STATS_PATH:
+            return Answer(200, render_figures(self._driver.figures, former))
+        if path == COST_PATH:
+            return Answer(200, "".join(f"{FIGURE_PREFIX}.{line}\n" for line in self._cost_lines()))
+        return self._ban(parse_endpoint_id(query), path == CORDON_PATH)
 
     def _health(self) -> Answer:
         if not self._takes_clients():
             return Answer(503, "takes no clients\n")
-        self._said_yes()
+        self._on_healthy()
         return Answer(200, "takes clients\n")
 
     def _ban(self, host: str | None, banned: bool) -> Answer:
@@ -125,14 +131,14 @@
         return Answer(200, "left out\n" if banned else "in use\n")
 
 
-class Caller(asyncio.Protocol):
+class OperatorConnection(asyncio.Protocol):
     """One operator's connection and its one call."""
 
-    def __init__(self, admin: Admin, former: Counts) -> None:
-        self._admin, self._former = admin, former
+    def __init__(self, admin: AdminServer, former: Counts) -> None:
+        self._admin, self._predecessor_counts = admin, former
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
-        self._body = 0  # bytes of its body that came
+        self._body_bytes = 0  # bytes of its body that came
         self._answered = False
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -140,60 +146,60 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE_S, self._late)
-        self._admin.joined(self)
+        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._call_timed_out)
+        self._admin.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._admin.callers.pop(self, None)
+        self._admin.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        self._admin.callers.move_to_end(self)
-        self._take(data)
+        self._admin.connections.move_to_end(self)
+        self._receive(data)
 
     def eof_received(self) -> None:
         """A caller that ends its sending before its call is whole is told so."""
-        self._take(b"")
+        self._receive(b"")
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         """Answer once the call is whole; an error in here ends this connection alone."""
         if self._answered:  # what comes behind the call is read and dropped
             return
         try:
             self._http.receive_data(data)
-            self._read()
+            self._read_events()
         except h11.RemoteProtocolError as error:
-            self._say(Answer(error.error_status_hint, "the call cannot be read\n"))
+            self._send_answer(Answer(error.error_status_hint, "the call cannot be read\n"))
         except Exception:
             LOG.exception("operators: a call broke")
-            self._say(Answer(500, "internal error\n"))
+            self._send_answer(Answer(500, "internal error\n"))
 
-    def _read(self) -> None:
+    def _read_events(self) -> None:
         while (event := self._http.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.Request):
                 self._request = event
             elif isinstance(event, h11.Data):
-                self._body += len(event.data)
+                self._body_bytes += len(event.data)
             elif not isinstance(event, h11.EndOfMessage):
                 return  # the caller left
-            if self._body > MOST_BODY:
-                return self._say(Answer(413, "the body is too long\n"))
+            if self._body_bytes > MAX_BODY_BYTES:
+                return self._send_answer(Answer(413, "the body is too long\n"))
             if self._request and (
                 isinstance(event, h11.EndOfMessage) or self._http.they_are_waiting_for_100_continue
             ):
-                return self._say(self._admin.answer(self._request, self._former))
+                return self._send_answer(self._admin.answer(self._request, self._predecessor_counts))
 
-    def _late(self) -> None:
-        self._say(Answer(408, "no whole call in time\n"))
+    def _call_timed_out(self) -> None:
+        self._send_answer(Answer(408, "no whole call in time\n"))
 
-    def _say(self, answer: Answer) -> None:
+    def _send_answer(self, answer: Answer) -> None:
         """Answer and end the sending; a close over unread bytes would reset, and take the answer away."""
         assert self._transport is not None
         self._answered = True
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(LINGER_S, self._transport.abort)
+        self._timer = asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, self._transport.abort)
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return self._transport.abort()
         head = h11.Response(status_code=answer.status, headers=answer.headers())
@@ -202,45 +208,47 @@
             self._transport.write(self._http.send(event) or b"")
         self._transport.write_eof()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Cut the caller off."""
         if self._transport is not None:
             self._transport.abort()
 
 
-class Admin:
+class AdminServer:
     """Listens for operators."""
 
     def __init__(self) -> None:
-        self.desk: Desk | None = None  # until the relay is there every call gets a no
-        self.callers: OrderedDict[Caller, None] = OrderedDict()  # the one heard of last stands last
+        self.handler: RequestHandler | None = None  # until the relay is there every call gets a no
+        self.connections: OrderedDict[OperatorConnection, None] = (
+            OrderedDict()
+        )  # the one heard of last stands last
         self.listeners: list[Listener] = []  # the own one first
 
-    async def start(self, sock: socket.socket, former: Counts = NOTHING) -> None:
+    async def start(self, sock: socket.socket, former: Counts = NO_COUNTS) -> None:
         """Begin to answer."""
-        self.listeners.append(Listener(sock, lambda: Caller(self, former)))
+        self.listeners.append(Listener(sock, lambda: OperatorConnection(self, former)))
         await self.listeners[-1].start()
 
-    async def take(self, sock: socket.socket, former: Counts) -> None:
+    async def take_over(self, sock: socket.socket, former: Counts) -> None:
         """Answer for a while at the address of the process before, as it would have."""
         await self.start(sock, former)
-        asyncio.get_running_loop().call_later(FORMER_S, self.listeners[-1].close)
+        asyncio.get_running_loop().call_later(PREDECESSOR_ADDRESS_S, self.listeners[-1].close)
 
     def answer(self, request: h11.Request, former: Counts) -> Answer:
         """The answer to one call."""
-        if self.desk is None:
+        if self.handler is None:
             return Answer(503, "starting\n")
-        return self.desk.answer(request.method, request.target, former)
+        return self.handler.answer(request.method, request.target, former)
 
-    def joined(self, caller: Caller) -> None:
+    def add_connection(self, caller: OperatorConnection) -> None:
         """A new connection."""
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            next(iter(self.callers)).end()
+        self.connections[caller] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            next(iter(self.connections)).abort()
 
     def close(self) -> None:
         """Stop listening and cut off whoever is there."""
         for listener in self.listeners:
             listener.close()
-        for caller in list(self.callers):
-            caller.end()
+        for caller in list(self.connections):
+            caller.abort()
--- a/relay/clients.py
+++ b/relay/clients.py
@@ -15,49 +15,53 @@
 from relay import resp
 from relay.driver import Driver, Handed
 from relay.listeners import Listener
-from relay.reasons import Parting, Refusal
+from relay.reasons import EndReason, RefusalReason
 
 LOG = logging.getLogger(__name__)
-MOST_BODY = 64 * 1024
-MOST_COMMAND = MOST_BODY + 4096  # bytes of one request; more without an end is no request
-TOKEN = re.compile(rb"[!-~]{1,128}")  # what can stand in a header and in a batch's line
-NUMBER = re.compile(rb"[0-9]{1,12}")
-UNFINISHED_SHARE = 0.125  # of the memory: requests that are coming in, of all clients together
-PATIENCE_S = 2.5  # s for a whole request: a connection without one may go after 2 s, and has to after 3 s
-LINGER_S = 0.4  # s of silence after which a connection whose sending was ended is closed
-FLOOD_S = 6.0  # s after which it is closed although its peer goes on sending
-TURNS = 2  # of the loop, in which what a connection has brought by now is read and answered
-PARTING_SHARE = 0.25  # of the bound on clients: connections whose sending was ended, beside the others
-TURN_SHARE = 0.125  # of the bound on clients: those accepted in one turn, before any can make room for them
-MOST_DEST = 65535  # no list names a destination beyond; a message for one would owe an end and find no host
-LONGEST_MS = 24 * 3600 * 1000
+MAX_BODY_BYTES = 64 * 1024
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of one request; more without an end is no request
+TOKEN_PATTERN = re.compile(rb"[!-~]{1,128}")  # what can stand in a header and in a batch's line
+NUMBER_PATTERN = re.compile(rb"[0-9]{1,12}")
+UNFINISHED_MEMORY_SHARE = 0.125  # of the memory: requests that are coming in, of all clients together
+REQUEST_TIMEOUT_S = (
+    2.5  # s for a whole request: a connection without one may go after 2 s, and has to after 3 s
+)
+LINGER_TIMEOUT_S = 0.4  # s of silence after which a connection whose sending was ended is closed
+MAX_LINGER_S = 6.0  # s after which it is closed although its peer goes on sending
+CLOSE_DELAY_ITERATIONS = 2  # of the loop, in which what a connection has brought by now is read and answered
+LINGERING_SHARE = 0.25  # of the bound on clients: connections whose sending was ended, beside the others
+ACCEPT_BATCH_SHARE = (
+    0.125  # of the bound on clients: those accepted in one turn, before any can make room for them
+)
+MAX_DEST = 65535  # no list names a destination beyond; a message for one would owe an end and find no host
+MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 
 
 class BadRequestError(ValueError):
     """A whole request that cannot be taken on."""
 
 
-def token(raw: bytes, name: str) -> str:
+def parse_token(raw: bytes, name: str) -> str:
     """A short printable word."""
-    if not TOKEN.fullmatch(raw):
+    if not TOKEN_PATTERN.fullmatch(raw):
         raise BadRequestError(f"{name} is unreadable")
     return raw.decode("ascii")
 
 
-def number(pairs: dict[bytes, bytes], name: bytes) -> int:
+def parse_number(pairs: dict[bytes, bytes], name: bytes) -> int:
     """A whole number that has to be there."""
     text = pairs.get(name, b"")
-    if not NUMBER.fullmatch(text):
+    if not NUMBER_PATTERN.fullmatch(text):
         raise BadRequestError(f"{name.decode()} is no whole number")
     return int(text)
 
 
-def handed_of(args: list[bytes], now_us: int) -> tuple[Handed, bytes]:
+def parse_enqueue(args: list[bytes], now_us: int) -> tuple[Handed, bytes]:
     """The message in an ENQUEUE request; its time counts from ``now_us``."""
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
     _, order, ref, names, body = args
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise BadRequestError("the body is too long")
     pairs: dict[bytes, bytes] = {}
     for pair in names.split(b","):
@@ -65,53 +69,55 @@
         if not sign:
             raise BadRequestError("the list holds no name=value pair")
         pairs[name.strip()] = value
-    if (dest := number(pairs, b"dest")) > MOST_DEST:
+    if (dest := parse_number(pairs, b"dest")) > MAX_DEST:
         raise BadRequestError("dest is out of range")
-    left_ms = min(number(pairs, b"d"), LONGEST_MS)
+    left_ms = min(parse_number(pairs, b"d"), MAX_TIME_LEFT_MS)
     handed = Handed(
-        id=token(ref, "the id"),
+        id=parse_token(ref, "the id"),
         dest=dest,
-        cls=token(pairs.get(b"c", b""), "c"),
+        cls=parse_token(pairs.get(b"c", b""), "c"),
         deadline_us=now_us + left_ms * 1000,
-        tenant=token(pairs[b"t"], "t") if pairs.get(b"t") else "",
-        order="" if not order.strip(b"0") else token(order, "the key"),
-        key=token(pairs[b"k"], "k") if pairs.get(b"k") else "",
+        tenant=parse_token(pairs[b"t"], "t") if pairs.get(b"t") else "",
+        order="" if not order.strip(b"0") else parse_token(order, "the key"),
+        key=parse_token(pairs[b"k"], "k") if pairs.get(b"k") else "",
     )
     return handed, body
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection: requests in order, one answer each."""
 
     def __init__(self, server: Server, data: bytes = b"", by_s: float | None = None) -> None:
         self._server = server
-        self._data = bytearray(data)  # what came since the last whole request
-        self._least = 0  # bytes of it before which no request can be whole
-        self._kept = 0  # bytes of it that the server has counted
-        self._by_s = by_s  # the loop's time until which one has to come; None: the usual patience
+        self._buffer = bytearray(data)  # what came since the last whole request
+        self._min_request_bytes = 0  # bytes of it before which no request can be whole
+        self._counted_bytes = 0  # bytes of it that the server has counted
+        self._request_due_s = by_s  # the loop's time until which one has to come; None: the usual patience
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None  # runs while a request is waited for
-        self.ending = False
-        self._closing = False  # it will be closed within some turns, if no request begins meanwhile
-        self._parted = False  # the sending was ended; what the peer sends on is read and dropped
-        self._stirred = False  # whether it sent something since it was looked at last
-        self._last_s = math.inf  # the loop's time when it is closed whatever comes
+        self.close_requested = False
+        self._close_scheduled = False  # it will be closed within some turns, if no request begins meanwhile
+        self._write_closed = False  # the sending was ended; what the peer sends on is read and dropped
+        self._received_since_check = False  # whether it sent something since it was looked at last
+        self._linger_deadline_s = math.inf  # the loop's time when it is closed whatever comes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self._by_s != math.inf:  # else another process served it, and it stands between its requests
-            self._wait()
-        self._server.joined(self)
+        if (
+            self._request_due_s != math.inf
+        ):  # else another process served it, and it stands between its requests
+            self._start_request_timer()
+        self._server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._rest()
-        self._count(0)
-        self._server.left(self)
+        self._cancel_timer()
+        self._update_unfinished_bytes(0)
+        self._server.remove_connection(self)
 
     def pause_writing(self) -> None:
         """A client that does not read its answers is not read either: buffers stay bounded."""
-        if self._transport is not None and not self._transport.is_closing() and not self._parted:
+        if self._transport is not None and not self._transport.is_closing() and not self._write_closed:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
@@ -121,79 +127,84 @@
     def data_received(self, data: bytes) -> None:
         """Answer every whole request; a broken frame or an error in here ends this connection alone."""
         assert self._transport is not None
-        if self._parted:
-            self._stirred = True
+        if self._write_closed:
+            self._received_since_check = True
             return
         self._server.clients.move_to_end(self)
         try:
-            self._serve(data)
+            self._handle_data(data)
         except resp.ProtocolError as error:
             LOG.info("clients: a broken frame: %s", error)
-            self._part(Parting.BROKEN_REQUEST, b"-ERR Protocol error\r\n")
+            self._close_writing(EndReason.BROKEN_REQUEST, b"-ERR Protocol error\r\n")
         except Exception:
             LOG.exception("clients: a connection broke")
-            self._part(Parting.INTERNAL_ERROR, b"-ERR internal error\r\n")
+            self._close_writing(EndReason.INTERNAL_ERROR, b"-ERR internal error\r\n")
 
-    def _serve(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         assert self._transport is not None
-        self._data += data
-        if len(self._data) >= self._least:
-            self._answer(bytes(self._data))
-        if len(self._data) > MOST_COMMAND:
+        self._buffer += data
+        if len(self._buffer) >= self._min_request_bytes:
+            self._answer_whole_requests(bytes(self._buffer))
+        if len(self._buffer) > MAX_REQUEST_BYTES:
             raise resp.ProtocolError("a request without end")
-        self._count(len(self._data))
-        if self._data and self._server.unfinished_bytes > self._server.most_unfinished_bytes:
+        self._update_unfinished_bytes(len(self._buffer))
+        if self._buffer and self._server.unfinished_bytes > self._server.max_unfinished_bytes:
             LOG.warning("clients: a request was refused: unfinished ones come to too many bytes")
-            self._part(Parting.UNFINISHED_BYTES, self._server.busy)
+            self._close_writing(EndReason.UNFINISHED_BYTES, self._server.busy_reply)
             return
-        if self._data and self._timer is None:
-            self._wait()
-        if self.ending and not self._data:
-            self._close_soon()
+        if self._buffer and self._timer is None:
+            self._start_request_timer()
+        if self.close_requested and not self._buffer:
+            self._schedule_close()
 
-    def _count(self, kept: int) -> None:
+    def _update_unfinished_bytes(self, kept: int) -> None:
         """Tell the server how much of an unfinished request is kept here."""
-        self._server.unfinished_bytes += kept - self._kept
-        self._kept = kept
+        self._server.unfinished_bytes += kept - self._counted_bytes
+        self._counted_bytes = kept
 
-    def _answer(self, data: bytes) -> None:
+    def _answer_whole_requests(self, data: bytes) -> None:
         """Answer what is whole, and keep the rest."""
         assert self._transport is not None
-        while data and (found := resp.request_at(data, MOST_COMMAND)) is not None:
+        while data and (found := resp.parse_request(data, MAX_REQUEST_BYTES)) is not None:
             words, end = found
             data = data[end:]
-            self._rest()
+            self._cancel_timer()
             self._transport.write(self._server.answer(words))
-        self._data = bytearray(data)
-        self._least = resp.least_size(data) if data else 0
+        self._buffer = bytearray(data)
+        self._min_request_bytes = resp.min_request_size(data) if data else 0
 
-    def _wait(self) -> None:
+    def _start_request_timer(self) -> None:
         """A whole request has to come in time: silent peers and halves of requests hold descriptors."""
         loop = asyncio.get_running_loop()
-        by_s, self._by_s = self._by_s or loop.time() + PATIENCE_S, None
-        self._timer = loop.call_at(by_s, self._late)
+        by_s, self._request_due_s = self._request_due_s or loop.time() + REQUEST_TIMEOUT_S, None
+        self._timer = loop.call_at(by_s, self._request_timed_out)
 
-    def left(self) -> tuple[dict[str, Any], int] | None:
+    def handover_state(self) -> tuple[dict[str, Any], int] | None:
         """What another process needs to serve it on, and its descriptor; None where it is being ended."""
         transport = self._transport
-        if transport is None or self._parted or transport.is_closing() or transport.get_write_buffer_size():
+        if (
+            transport is None
+            or self._write_closed
+            or transport.is_closing()
+            or transport.get_write_buffer_size()
+        ):
             return None
         by_s = math.inf if self._timer is None else self._timer.when()
-        state = {"data": self._data.decode("latin-1"), "by_s": by_s, "ending": self.ending}
+        state = {"data": self._buffer.decode("latin-1"), "by_s": by_s, "ending": self.close_requested}
         return state, transport.get_extra_info("socket").fileno()
 
-    def _late(self) -> None:
+    def _request_timed_out(self) -> None:
         # Where no request has begun, a line would be read as the answer to one that crosses it.
-        line = b"-ERR no whole request in time\r\n" if self._data else b""
-        self._part(Parting.NO_REQUEST_IN_TIME, line)
+        line = b"-ERR no whole request in time\r\n" if self._buffer else b""
+        self._close_writing(EndReason.NO_REQUEST_IN_TIME, line)
 
-    def _rest(self) -> None:
+    def _cancel_timer(self) -> None:
         """Nothing is waited for: a served connection may stand idle between its requests."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _part(self, why: Parting, line: bytes = b"") -> None:
+    def _close_writing(self, why: EndReason, line: bytes = b"") -> None:
         """Tell the peer why and end the sending; what still comes is read and dropped for a moment.
 
         Closing over bytes that nobody read would reset the connection, and a reset takes what was written
@@ -201,137 +212,142 @@
         """
         assert self._transport is not None
         loop = asyncio.get_running_loop()
-        self._rest()
-        self._parted, self._data, self._stirred = True, bytearray(), False
-        self._count(0)
-        self._server.parts(self, why)
+        self._cancel_timer()
+        self._write_closed, self._buffer, self._received_since_check = True, bytearray(), False
+        self._update_unfinished_bytes(0)
+        self._server.move_to_lingering(self, why)
         self._transport.write(line)
         with suppress(OSError):  # its peer has reset it, and the loop has not told so yet
             self._transport.write_eof()
         self._transport.resume_reading()
-        self._last_s = loop.time() + FLOOD_S
-        self._timer = loop.call_later(LINGER_S, self._linger)
+        self._linger_deadline_s = loop.time() + MAX_LINGER_S
+        self._timer = loop.call_later(LINGER_TIMEOUT_S, self._check_linger)
 
-    def _linger(self) -> None:
+    def _check_linger(self) -> None:
         """Close once nothing comes any more, and whatever comes after a while."""
         loop = asyncio.get_running_loop()
-        if self._stirred and loop.time() < self._last_s:
-            self._stirred, self._timer = False, loop.call_later(LINGER_S, self._linger)
+        if self._received_since_check and loop.time() < self._linger_deadline_s:
+            self._received_since_check, self._timer = (
+                False,
+                loop.call_later(LINGER_TIMEOUT_S, self._check_linger),
+            )
         else:
-            self.cut()
+            self.abort()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close at once, whatever is on its way."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _close_soon(self) -> None:
+    def _schedule_close(self) -> None:
         """End it behind what it has brought by now: a request that lies in the socket is answered first."""
-        if not self._closing:
-            self._closing = True
-            self._turn(TURNS)
+        if not self._close_scheduled:
+            self._close_scheduled = True
+            self._close_after_iterations(CLOSE_DELAY_ITERATIONS)
 
-    def _turn(self, left: int) -> None:
+    def _close_after_iterations(self, left: int) -> None:
         if left:
-            asyncio.get_running_loop().call_soon(self._turn, left - 1)
+            asyncio.get_running_loop().call_soon(self._close_after_iterations, left - 1)
             return
-        self._closing = False
-        over = self._transport is None or self._transport.is_closing() or self._parted
-        if not over and not self._data:  # else the answer to what has begun meanwhile ends it
-            self._part(Parting.SHUTDOWN)
+        self._close_scheduled = False
+        over = self._transport is None or self._transport.is_closing() or self._write_closed
+        if not over and not self._buffer:  # else the answer to what has begun meanwhile ends it
+            self._close_writing(EndReason.SHUTDOWN)
 
-    def end(self) -> None:
+    def close_between_requests(self) -> None:
         """End it between requests: now, or once the request that is coming in has its answer."""
-        self.ending = True
-        if not self._data and not self._parted:
-            self._close_soon()
+        self.close_requested = True
+        if not self._buffer and not self._write_closed:
+            self._schedule_close()
 
-    def give_way(self) -> None:
+    def close_for_descriptor(self) -> None:
         """End it for its descriptor: now, and a request that is coming in is refused."""
-        if not self._parted:
-            self._part(Parting.DESCRIPTOR_WANTED, self._server.busy if self._data else b"")
+        if not self._write_closed:
+            self._close_writing(EndReason.DESCRIPTOR_WANTED, self._server.busy_reply if self._buffer else b"")
 
 
 class Server:
     """Listens for clients and answers their requests."""
 
     def __init__(self, driver: Driver, most: int, memory_bytes: int) -> None:
-        self._driver, self.most = driver, most
+        self._driver, self.max_clients = driver, most
         # A burst of large requests is refused as it comes in: held together they could fill the memory.
-        self.unfinished_bytes, self.most_unfinished_bytes = 0, int(memory_bytes * UNFINISHED_SHARE)
-        self.clients: OrderedDict[Client, None] = OrderedDict()  # the one heard of last stands last
-        self.parting: OrderedDict[Client, None] = OrderedDict()  # those whose sending was ended, in turn
-        self.partings: Counter[Parting] = Counter()  # connections that were ended from here
+        self.unfinished_bytes, self.max_unfinished_bytes = 0, int(memory_bytes * UNFINISHED_MEMORY_SHARE)
+        self.clients: OrderedDict[ClientConnection, None] = OrderedDict()  # the one heard of last stands last
+        self.lingering: OrderedDict[ClientConnection, None] = (
+            OrderedDict()
+        )  # those whose sending was ended, in turn
+        self.ended_counts: Counter[EndReason] = Counter()  # connections that were ended from here
         self.listener: Listener | None = None
-        self.refusing = False
+        self.shutting_down = False
 
     async def start(self, sock: socket.socket) -> None:
         """Begin to accept; the journal must have been replayed by then."""
-        a_turn = max(1, int(self.most * TURN_SHARE))
-        self.listener = Listener(sock, lambda: Client(self), self._make_room, a_turn)
+        a_turn = max(1, int(self.max_clients * ACCEPT_BATCH_SHARE))
+        self.listener = Listener(sock, lambda: ClientConnection(self), self._free_descriptor, a_turn)
         await self.listener.start()
 
-    def leave(self) -> tuple[list[dict[str, Any]], list[int]]:
+    def export_clients(self) -> tuple[list[dict[str, Any]], list[int]]:
         """What another process needs of each client, and their descriptors."""
-        left = [found for client in self.clients if (found := client.left()) is not None]
+        left = [found for client in self.clients if (found := client.handover_state()) is not None]
         return [state for state, _ in left], [fd for _, fd in left]
 
-    async def take(self, left: list[dict[str, Any]], socks: Iterable[socket.socket]) -> None:
+    async def restore_clients(self, left: list[dict[str, Any]], socks: Iterable[socket.socket]) -> None:
         """Serve the clients of another process on."""
         loop = asyncio.get_running_loop()
         for state, sock in zip(left, socks, strict=True):
-            client = Client(self, state["data"].encode("latin-1"), state["by_s"])
-            client.ending = state["ending"]
+            client = ClientConnection(self, state["data"].encode("latin-1"), state["by_s"])
+            client.close_requested = state["ending"]
             await loop.connect_accepted_socket(lambda client=client: client, sock)  # type: ignore[misc]
-            if client.ending:
-                client.end()
+            if client.close_requested:
+                client.close_between_requests()
 
     @property
     def serving(self) -> bool:
         """Whether clients are taken."""
-        return self.listener is not None and not self.refusing
+        return self.listener is not None and not self.shutting_down
 
-    def joined(self, client: Client) -> None:
+    def add_connection(self, client: ClientConnection) -> None:
         """A new connection; over the bound the one that was silent longest goes, between its requests.
 
         Descriptors are bounded, and a client that is turned away with a request on its way would lose it.
         """
         self.clients[client] = None
-        if len(self.clients) > self.most:
-            next(iter(self.clients)).give_way()
-        if self.refusing:
-            client.ending = True
+        if len(self.clients) > self.max_clients:
+            next(iter(self.clients)).close_for_descriptor()
+        if self.shutting_down:
+            client.close_requested = True
 
-    def parts(self, client: Client, why: Parting) -> None:
+    def move_to_lingering(self, client: ClientConnection, why: EndReason) -> None:
         """The sending to a client was ended; of too many such, the first one is closed at once."""
-        self.partings[why] += 1
+        self.ended_counts[why] += 1
         self.clients.pop(client, None)
-        self.parting[client] = None
-        if len(self.clients) + len(self.parting) > self.most * (1 + PARTING_SHARE):
-            self.parting.popitem(last=False)[0].cut()
+        self.lingering[client] = None
+        if len(self.clients) + len(self.lingering) > self.max_clients * (1 + LINGERING_SHARE):
+            self.lingering.popitem(last=False)[0].abort()
 
-    def left(self, client: Client) -> None:
+    def remove_connection(self, client: ClientConnection) -> None:
         """A connection is over."""
         self.clients.pop(client, None)
-        self.parting.pop(client, None)
+        self.lingering.pop(client, None)
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Those with clients that are open."""
-        return len(self.clients) + len(self.parting)
+        return len(self.clients) + len(self.lingering)
 
-    def _make_room(self) -> None:
+    def _free_descriptor(self) -> None:
         """No descriptor is left for a new one: one that is ending, or else that was silent longest, goes."""
-        if self.parting:
-            self.parting.popitem(last=False)[0].cut()
+        if self.lingering:
+            self.lingering.popitem(last=False)[0].abort()
         elif self.clients:
-            next(iter(self.clients)).give_way()
+            next(iter(self.clients)).close_for_descriptor()
 
-    def end_clients(self) -> None:
+    def close_clients(self) -> None:
         """Close every connection between requests; new ones get answers and are closed behind them."""
-        self.refusing = True
+        self.shutting_down = True
         for client in list(self.clients):
-            client.end()
+            client.close_between_requests()
 
     def close(self) -> None:
         """Stop listening."""
@@ -348,18 +364,18 @@
         if command != b"ENQUEUE":
             return b"-ERR unknown command\r\n"
         try:
-            handed, body = handed_of(request, self._driver.clock())
+            handed, body = parse_enqueue(request, self._driver.clock())
         except BadRequestError as error:
             return b"-ERR %s\r\n" % str(error).encode()
         if not self._driver.knows_class(handed.cls):
             return b"-ERR unknown class\r\n"
-        refusal = Refusal.SHUTDOWN if self.refusing else self._driver.accept(handed, body)
+        refusal = RefusalReason.SHUTDOWN if self.shutting_down else self._driver.accept(handed, body)
         if refusal is not None:
             self._driver.refused(handed.cls, refusal)
-            return self.busy
+            return self.busy_reply
         return b"+OK\r\n"
 
     @property
-    def busy(self) -> bytes:
+    def busy_reply(self) -> bytes:
         """The refusal that tells when to come again."""
         return b"-BUSY %d\r\n" % self._driver.busy_ms
--- a/relay/config.py
+++ b/relay/config.py
@@ -14,8 +14,8 @@
 from relay.endpoint_list import DirectoryUpdate, parse_list
 from relay.http import Address
 
-LEAST_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
-LEAST_SOCKETS = 4  # half are for clients, a quarter for idle connections to endpoints
+DEFAULT_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
+MIN_SOCKETS = 4  # half are for clients, a quarter for idle connections to endpoints
 T = TypeVar("T")
 
 
@@ -30,20 +30,20 @@
     name: str
     listen: Address
     discovery: Address
-    state: Path
+    state_dir: Path
     seed: int
     settings: Settings
     connect_timeout_us: int
     disk_bytes: int
-    sockets: int
+    max_sockets: int
     memory_bytes: int
-    known: DirectoryUpdate
+    initial_hosts: DirectoryUpdate
     admin: Address | None = None  # where operators call; None: nowhere
     passed_socket: int | None = None  # the descriptor on which clients come; None: listen by oneself
-    folder: Path = Path()  # for what processes of this relay share and need not outlast them
+    shared_dir: Path = Path()  # for what processes of this relay share and need not outlast them
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """``host:port`` as the pair that sockets take."""
     host, sign, port = text.rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -64,12 +64,12 @@
         for at, item in enumerate(value):
             yield from flatten(item, f"{path}.{at}")
     elif isinstance(value, list):
-        yield path, ",".join(plain(item) for item in value)
+        yield path, ",".join(format_value(item) for item in value)
     elif value is not None:
-        yield path, plain(value)
+        yield path, format_value(value)
 
 
-def plain(value: Any) -> str:
+def format_value(value: Any) -> str:
     """One plain value in the wire's spelling."""
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -78,7 +78,7 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def named(key: str, read: Callable[[Any], T], value: Any) -> T:
+def read_value(key: str, read: Callable[[Any], T], value: Any) -> T:
     """A value by its reader; ``ConfigError`` names the key of one that cannot be read."""
     try:
         return read(value)
@@ -86,23 +86,23 @@
         raise ConfigError(f"{key}: {error}") from None
 
 
-def limit_of(limits: Mapping[str, Any], key: str, usual: float, least: float) -> float:
+def read_limit(limits: Mapping[str, Any], key: str, usual: float, least: float) -> float:
     """A limit that the deployment sets; ``ConfigError`` names the key of one that cannot be kept to."""
-    value = named(f"limits.{key}", float, limits.get(key, usual))
+    value = read_value(f"limits.{key}", float, limits.get(key, usual))
     if not least <= value < math.inf:
         raise ConfigError(f"limits.{key}: {value:g} cannot be kept to, the least is {least:g}")
     return value
 
 
-def seed_of(value: Any) -> int:
+def parse_seed(value: Any) -> int:
     """The seed is hexadecimal text; a plain number serves too."""
     return int(value, 16) if isinstance(value, str) else int(value)
 
 
-def discovery_of(environ: Mapping[str, str]) -> Address:
+def read_discovery_address(environ: Mapping[str, str]) -> Address:
     """Where discovery is by the file as it stands now; the environment is older than a changed file."""
     try:
-        return address_of(json.loads(Path(environ["ROUTER_CONFIG"]).read_bytes())["discovery"])
+        return parse_address(json.loads(Path(environ["ROUTER_CONFIG"]).read_bytes())["discovery"])
     except KeyError as error:
         raise ConfigError(f"missing {error.args[0]}") from None
     except (OSError, TypeError, ValueError, AttributeError) as error:
@@ -117,22 +117,24 @@
         limits = raw.get("limits", {})
         return Config(
             name=environ.get("ROUTER_NAME") or str(raw["name"]),
-            listen=named("listen", address_of, environ.get("ROUTER_LISTEN") or raw["listen"]),
-            discovery=named("discovery", address_of, environ.get("ROUTER_DISCOVERY") or raw["discovery"]),
-            state=Path(environ["ROUTER_STATE"]),
-            seed=named("seed", seed_of, raw.get("seed", 0)),
+            listen=read_value("listen", parse_address, environ.get("ROUTER_LISTEN") or raw["listen"]),
+            discovery=read_value(
+                "discovery", parse_address, environ.get("ROUTER_DISCOVERY") or raw["discovery"]
+            ),
+            state_dir=Path(environ["ROUTER_STATE"]),
+            seed=read_value("seed", parse_seed, raw.get("seed", 0)),
             # On sockets the directory answers only when asked, whatever the simulator's site says.
             settings=replace(parse_settings(pairs), must_ask=True),
             connect_timeout_us=parse_int(pairs, "allowed.connect_timeout_us", 1_000_000),
-            disk_bytes=int(limit_of(limits, "disk_mb", 3, 0.01) * 1_000_000),
-            sockets=int(limit_of(limits, "sockets", 1024, LEAST_SOCKETS)),
-            memory_bytes=int(limit_of(limits, "memory_mb", LEAST_MEMORY_MB, 1) * 1_000_000),
-            known=named("known", parse_list, raw["known"])
+            disk_bytes=int(read_limit(limits, "disk_mb", 3, 0.01) * 1_000_000),
+            max_sockets=int(read_limit(limits, "sockets", 1024, MIN_SOCKETS)),
+            memory_bytes=int(read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, 1) * 1_000_000),
+            initial_hosts=read_value("known", parse_list, raw["known"])
             if raw.get("known")
             else DirectoryUpdate(0, True, ()),
             passed_socket=int(passed) if (passed := environ.get("ROUTER_PASSED_SOCKET")) else None,
-            folder=Path(environ.get("TMPDIR") or environ["ROUTER_STATE"]),
-            admin=named("admin", address_of, admin)
+            shared_dir=Path(environ.get("TMPDIR") or environ["ROUTER_STATE"]),
+            admin=read_value("admin", parse_address, admin)
             if (admin := environ.get("ROUTER_ADMIN") or raw.get("admin"))
             else None,
         )
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -31,7 +31,7 @@
 from relay.endpoint_list import DirectoryUpdate, ordered_changes, split_changes
 from relay.http import Address
 from relay.journal import Attempt, Journal, JournalFullError, Recovered
-from relay.reasons import Refusal
+from relay.reasons import RefusalReason
 
 LOG = logging.getLogger(__name__)
 STATUS_S = 5.0  # s between log lines on connections
@@ -150,12 +150,12 @@
             config.settings.kinds,
             config.settings.keepalive_us,
             config.connect_timeout_us,
-            config.sockets // 4,
+            config.max_sockets // 4,
             self._settled,
         )
         self._watch = Watch(
             config.discovery,
-            config.known.version,
+            config.initial_hosts.version,
             told=self._listed,
             told_in_pieces=self._listed_in_pieces,
             failed=self._unlisted,
@@ -166,7 +166,7 @@
         self._bodies_bytes, self._most_bodies_bytes = 0, int(config.memory_bytes * BODIES_SHARE)
         self._over: OrderedDict[str, None] = OrderedDict()
         self._ended: Counter[tuple[str, str]] = Counter()  # messages by class and how they ended
-        self.refusals: Counter[Refusal] = Counter()  # at the door
+        self.refusals: Counter[RefusalReason] = Counter()  # at the door
         self._inbox: list[api.Event] = []
         self._timer: asyncio.TimerHandle | None = None
         self._steps_awaited: list[asyncio.Future[None]] = []  # of who waits for the next step's end
@@ -176,7 +176,7 @@
         self._stop_s: float | None = None  # once shutting down: when the last call must have ended
         self._put_off: list[api.Send] = []  # calls that were not made for that
         self._classes = {cls.name for cls in config.settings.classes}
-        self._known = config.known
+        self._known = config.initial_hosts
         self.module_us = 0  # time in the module's steps
 
     def start(self) -> None:
@@ -299,7 +299,7 @@
             "discovery": self._watch.open_connections + self._notices.open_connections,
         }
 
-    def refused(self, cls: str, why: Refusal) -> None:
+    def refused(self, cls: str, why: RefusalReason) -> None:
         """Count a message that was turned away at the door."""
         self._ended[cls, REFUSED] += 1
         self.refusals[why] += 1
@@ -318,7 +318,7 @@
         """Whether the settings name the class; the module would drop any other unseen."""
         return name in self._classes
 
-    def accept(self, handed: Handed, body: bytes) -> Refusal | None:
+    def accept(self, handed: Handed, body: bytes) -> RefusalReason | None:
         """Take a message on, journaled; why not where there is no room, and nothing was kept.
 
         An id that is known is the same request once more, on a new connection: it is taken on already.
@@ -326,15 +326,15 @@
         if handed.id in self._held or handed.id in self._over:
             return None
         if len(self._held) >= self._set.hold_cap:
-            return Refusal.HELD_MESSAGES
+            return RefusalReason.HELD_MESSAGES
         if self._bodies_bytes + len(body) > self._most_bodies_bytes:
             LOG.warning("a message was refused: held bodies come to %d bytes", self._bodies_bytes)
-            return Refusal.HELD_BODIES
+            return RefusalReason.HELD_BODIES
         try:
             self._journal.accept(handed.id, handed.fields, body)
         except JournalFullError as error:
             LOG.warning("a message was refused: %s", error)
-            return Refusal.JOURNAL
+            return RefusalReason.JOURNAL
         self._hold(handed, body)
         self._post(self._arrival(handed, self.clock()))
         return None
--- a/relay/listeners.py
+++ b/relay/listeners.py
@@ -13,31 +13,33 @@
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 1024
-A_TURN = 64  # connections accepted in one turn of the loop at most: what is there already is served between
-REST_S = 0.1  # s without accepting once no descriptor is left
-LOOK_S = 0.05  # s between looks whether an address is free
+MAX_ACCEPTS_PER_ITERATION = (
+    64  # connections accepted in one turn of the loop at most: what is there already is served between
+)
+ACCEPT_PAUSE_S = 0.1  # s without accepting once no descriptor is left
+BIND_RETRY_S = 0.05  # s between looks whether an address is free
 
 
-def bound(address: Address) -> socket.socket:
+def listen_at(address: Address) -> socket.socket:
     """A socket that listens at an address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     return socket.create_server(address, family=family, backlog=BACKLOG)
 
 
-async def freed(address: Address, within_s: float) -> socket.socket:
+async def listen_when_free(address: Address, within_s: float) -> socket.socket:
     """The same, once whoever listens there has let go; ``OSError`` where that takes too long."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + within_s
     while True:
         try:
-            return bound(address)
+            return listen_at(address)
         except OSError as error:
             if error.errno != errno.EADDRINUSE or loop.time() > until_s:
                 raise
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(BIND_RETRY_S)
 
 
-def passed(fd: int) -> socket.socket:
+def duplicate_socket(fd: int) -> socket.socket:
     """A copy of a descriptor that is the platform's and stays open for whoever comes next."""
     return socket.socket(fileno=os.dup(fd))
 
@@ -54,20 +56,25 @@
         sock: socket.socket,
         factory: Callable[[], asyncio.Protocol],
         full: Callable[[], None] = lambda: None,
-        a_turn: int = A_TURN,
+        a_turn: int = MAX_ACCEPTS_PER_ITERATION,
     ) -> None:
-        self.sock, self._factory, self._full, self._a_turn = sock, factory, full, min(A_TURN, a_turn)
+        self.sock, self._protocol_factory, self._free_descriptor, self._accepts_per_iteration = (
+            sock,
+            factory,
+            full,
+            min(MAX_ACCEPTS_PER_ITERATION, a_turn),
+        )
         self._loop = asyncio.get_running_loop()
-        self._coming: set[asyncio.Task[object]] = set()  # connections that are coming up
+        self._connecting_tasks: set[asyncio.Task[object]] = set()  # connections that are coming up
         self._timer: asyncio.TimerHandle | None = None
-        self._spare = -1  # a descriptor kept back for closing whom there is no other for; -1: none
+        self._reserve_fd = -1  # a descriptor kept back for closing whom there is no other for; -1: none
 
     async def start(self) -> None:
         """Accept, also again after ``pause``."""
         self.sock.setblocking(False)
         self.sock.listen(BACKLOG)
-        self._save()
-        self._resume()
+        self._open_reserve_fd()
+        self._start_accepting()
 
     def pause(self) -> None:
         """Accept nobody; what is accepted already comes up with the loop's next turns."""
@@ -80,15 +87,15 @@
         """Stop listening."""
         self.pause()
         self.sock.close()
-        if self._spare >= 0:
-            os.close(self._spare)
-            self._spare = -1
+        if self._reserve_fd >= 0:
+            os.close(self._reserve_fd)
+            self._reserve_fd = -1
 
-    def _resume(self) -> None:
+    def _start_accepting(self) -> None:
         self._loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(self._a_turn):
+        for _ in range(self._accepts_per_iteration):
             try:
                 sock, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -96,33 +103,33 @@
             except OSError as error:
                 if error.errno not in RESOURCE_SHORTAGE_ERRNOS:
                     raise
-                self._turn_away(error)
+                self._handle_no_descriptor(error)
                 return
             sock.setblocking(False)
-            task = self._loop.create_task(self._bring_up(sock))
-            self._coming.add(task)
-            task.add_done_callback(self._coming.discard)
+            task = self._loop.create_task(self._set_up_connection(sock))
+            self._connecting_tasks.add(task)
+            task.add_done_callback(self._connecting_tasks.discard)
 
-    async def _bring_up(self, sock: socket.socket) -> None:
+    async def _set_up_connection(self, sock: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._factory, sock)
+            await self._loop.connect_accepted_socket(self._protocol_factory, sock)
         except OSError as error:
             LOG.info("listen: a connection did not come up: %r", error)
             sock.close()
 
-    def _turn_away(self, error: OSError) -> None:
+    def _handle_no_descriptor(self, error: OSError) -> None:
         """No descriptor is left: tell whoever waits by closing, and rest instead of asking again at once."""
         self.pause()
-        if self._spare >= 0:
-            os.close(self._spare)
-            self._spare = -1
-            away = self._close_waiting()
-            self._save()
+        if self._reserve_fd >= 0:
+            os.close(self._reserve_fd)
+            self._reserve_fd = -1
+            away = self._close_pending_connections()
+            self._open_reserve_fd()
             LOG.warning("listen: %d connections closed unread: %s", away, error.strerror)
-        self._full()
-        self._timer = self._loop.call_later(REST_S, self._resume)
+        self._free_descriptor()
+        self._timer = self._loop.call_later(ACCEPT_PAUSE_S, self._start_accepting)
 
-    def _close_waiting(self) -> int:
+    def _close_pending_connections(self) -> int:
         for number in range(BACKLOG):
             try:
                 self.sock.accept()[0].close()
@@ -130,9 +137,9 @@
                 return number
         return BACKLOG
 
-    def _save(self) -> None:
-        if self._spare < 0:
+    def _open_reserve_fd(self) -> None:
+        if self._reserve_fd < 0:
             try:
-                self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
+                self._reserve_fd = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
-                self._spare = -1
+                self._reserve_fd = -1
--- a/relay/reasons.py
+++ b/relay/reasons.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 
 
-class Parting(StrEnum):
+class EndReason(StrEnum):
     """Why the relay ended a client's connection."""
 
     BROKEN_REQUEST = "broken_request"
@@ -16,7 +16,7 @@
     SHUTDOWN = "shutdown"
 
 
-class Refusal(StrEnum):
+class RefusalReason(StrEnum):
     """Why a message was not taken on."""
 
     SHUTDOWN = "shutdown"
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,21 +16,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownFailure:
     """One line."""
 
     test: str
     command: str
-    seen: str
+    observed: str
     issue: str
 
     @property
     def reason(self) -> str:
         """What the run prints of it beside its name."""
-        return f"{self.seen} ({self.issue}; {self.command})"
+        return f"{self.observed} ({self.issue}; {self.command})"
 
 
-def read(path: Path) -> list[Known]:
+def read(path: Path) -> list[KnownFailure]:
     """The lines of the file, none where it is absent; ``pytest.UsageError`` names one that cannot be used."""
     if not path.exists():
         return []
@@ -39,7 +39,7 @@
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != len(FIELDS) or not all(parts):
             raise pytest.UsageError(f"{FILE}:{number}: not '{' | '.join(FIELDS)}': {line!r}")
-        found.append(Known(*parts))
+        found.append(KnownFailure(*parts))
     if len({known.test for known in found}) < len(found):
         raise pytest.UsageError(f"{FILE}: a test stands there twice")
     return found
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -26,7 +26,9 @@
 
 async def connected(server: clients.Server) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A connection to the server."""
-    listener = await asyncio.get_running_loop().create_server(lambda: clients.Client(server), "127.0.0.1")
+    listener = await asyncio.get_running_loop().create_server(
+        lambda: clients.ClientConnection(server), "127.0.0.1"
+    )
     reader, writer = await asyncio.open_connection(*listener.sockets[0].getsockname())
     listener.close()
     return reader, writer
@@ -43,7 +45,7 @@
 async def gone(server: clients.Server) -> None:
     """Wait until the server has let go of every connection."""
     async with asyncio.timeout(BOUND_S / 2):
-        while server.connections:
+        while server.connection_count:
             await asyncio.sleep(0)
 
 
@@ -57,7 +59,7 @@
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A reset takes the error line away from a peer that has not read it yet."""
-    monkeypatch.setattr(clients, "LINGER_S", BOUND_S)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", BOUND_S)
     _reader, writer = await parted(server)
     writer.write(b"the rest")
     assert writer.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
@@ -66,7 +68,7 @@
 
 
 async def test_a_peer_that_stays_is_cut_off(server: clients.Server, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "LINGER_S", 0.0)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.0)
     _reader, writer = await parted(server)
     await gone(server)
     writer.close()
@@ -76,10 +78,10 @@
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A peer that sends all it has before it reads gets its line, however long that takes within bounds."""
-    monkeypatch.setattr(clients, "LINGER_S", 0.1)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.1)
     loop = asyncio.get_running_loop()
     reader, writer = await connected(server)
-    until_s = loop.time() + 10 * clients.LINGER_S
+    until_s = loop.time() + 10 * clients.LINGER_TIMEOUT_S
     writer.write(BROKEN)
     while loop.time() < until_s:
         writer.write(bytes(4096))
@@ -93,8 +95,8 @@
 async def test_a_flood_without_end_is_cut_off(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER_S", 0.05)
-    monkeypatch.setattr(clients, "FLOOD_S", 0.3)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(clients, "MAX_LINGER_S", 0.3)
     _reader, writer = await parted(server)
 
     async def flood() -> None:
@@ -104,16 +106,16 @@
 
     with pytest.raises(ConnectionError):
         await soon(flood())
-    assert not server.connections
+    assert not server.connection_count
 
 
 @asynccontextmanager
-async def accepted(server: clients.Server) -> AsyncIterator[tuple[clients.Client, socket.socket]]:
+async def accepted(server: clients.Server) -> AsyncIterator[tuple[clients.ClientConnection, socket.socket]]:
     """A client as the server has it, and the peer's socket, from which nothing reads by itself."""
-    loop, clients_of = asyncio.get_running_loop(), list[clients.Client]()
+    loop, clients_of = asyncio.get_running_loop(), list[clients.ClientConnection]()
 
-    def made() -> clients.Client:
-        clients_of.append(client := clients.Client(server))
+    def made() -> clients.ClientConnection:
+        clients_of.append(client := clients.ClientConnection(server))
         return client
 
     listener = await loop.create_server(made, "127.0.0.1")
@@ -136,7 +138,7 @@
         await loop.sock_sendall(peer, packed(b"PING"))
         assert await soon(loop.sock_recv(peer, 64)) == b"+PONG\r\n"
         peer.send(packed(b"PING") + more)  # it is there, and the loop had no turn to read it
-        client.end()
+        client.close_between_requests()
         assert await soon(loop.sock_recv(peer, 64)) == b"+PONG\r\n"
         if more:
             peer.send(packed(b"PING")[len(more) :])
@@ -157,10 +159,10 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()  # a reset, and the loop had no turn to read it
         if how == "end":
-            client._turn(0)
+            client._close_after_iterations(0)
         else:
-            client.give_way()
-        assert client in server.parting
+            client.close_for_descriptor()
+        assert client in server.lingering
         await gone(server)
     assert errors == []
 
@@ -172,7 +174,7 @@
     with socket.create_server(("127.0.0.1", 0)) as sock, socket.socket() as peer:
 
         async def until(_last_s: float, _done: object, _first_s: float) -> None:
-            if server.refusing:  # the last wait of the shutdown
+            if server.shutting_down:  # the last wait of the shutdown
                 peer.connect(sock.getsockname())
                 peer.send(packed(b"PING"))
 
@@ -202,13 +204,13 @@
     monkeypatch.setattr(server, "answer", answer)
     loop = asyncio.get_running_loop()
     async with accepted(server) as (client, peer):
-        client.end()
+        client.close_between_requests()
         assert await soon(loop.sock_recv(peer, 64)) == b""
         peer.send(packed(*enqueue("m1")))
-        while not client._stirred:
+        while not client._received_since_check:
             await asyncio.sleep(0)
         assert asked == []
-        assert client in server.parting
+        assert client in server.lingering
         peer.close()
         await gone(server)
 
@@ -217,13 +219,15 @@
     """Each of a burst makes room for itself: those that came up in the same turn of the loop are as many."""
     loop, peers = asyncio.get_running_loop(), list[socket.socket]()
     lefts = []
-    for _ in range(8 * server.most):
+    for _ in range(8 * server.max_clients):
         left, right = socket.socketpair()
         lefts.append(left)
         peers.append(right)
-    await asyncio.gather(*(loop.connect_accepted_socket(lambda: clients.Client(server), s) for s in lefts))
-    assert len(server.clients) == server.most
-    assert server.connections <= server.most * (1 + clients.PARTING_SHARE)
+    await asyncio.gather(
+        *(loop.connect_accepted_socket(lambda: clients.ClientConnection(server), s) for s in lefts)
+    )
+    assert len(server.clients) == server.max_clients
+    assert server.connection_count <= server.max_clients * (1 + clients.LINGERING_SHARE)
     for peer in peers:
         peer.close()
     await gone(server)
@@ -260,15 +264,15 @@
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The work for each byte stays the same however long the request becomes."""
-    looked, request_at = [0], resp.request_at
+    looked, request_at = [0], resp.parse_request
 
     def counted(data: bytes, most: int) -> tuple[list[bytes] | None, int] | None:
         looked[0] += 1
         return request_at(data, most)
 
-    monkeypatch.setattr(resp, "request_at", counted)
+    monkeypatch.setattr(resp, "parse_request", counted)
     monkeypatch.setattr(server, "answer", lambda words: b"+%d\r\n" % len(words[1]))
-    client = clients.Client(server)
+    client = clients.ClientConnection(server)
     left, right = socket.socketpair()
     await asyncio.get_running_loop().connect_accepted_socket(lambda: client, left)
     data = packed(b"ENQUEUE", bytes(60_000))
@@ -276,7 +280,7 @@
         client.data_received(data[at : at + 1])
     assert looked[0] <= len(data) - 60_000
     assert right.recv(100) == b"+60000\r\n"
-    client.end()
+    client.close_between_requests()
     right.close()
 
 
@@ -294,7 +298,7 @@
 
     answers = await asyncio.gather(*map(begin, halves))
     refused = [answer for answer in answers if answer.startswith(b"-BUSY")]
-    assert len(refused) >= 200 - 32_000_000 * clients.UNFINISHED_SHARE / 60_000 - 1
+    assert len(refused) >= 200 - 32_000_000 * clients.UNFINISHED_MEMORY_SHARE / 60_000 - 1
     assert all(answer.startswith((b"-BUSY", b"-ERR no whole request")) for answer in answers)
     assert world.process is not None
     status = Path(f"/proc/{world.process.pid}/status").read_text()
--- a/tests/test_concurrent_events.py
+++ b/tests/test_concurrent_events.py
@@ -27,7 +27,7 @@
 async def driver(world: World) -> AsyncIterator[Driver]:
     """A relay without clients in the test's own process."""
     cfg = config.load(world.environment())
-    driver = Driver(cfg, Journal(cfg.state, cfg.disk_bytes), lambda error: pytest.fail(repr(error)))
+    driver = Driver(cfg, Journal(cfg.state_dir, cfg.disk_bytes), lambda error: pytest.fail(repr(error)))
     driver.start()
     yield driver
     driver.close()
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -79,7 +79,7 @@
             tries[0] += 1
             raise OSError(errno.EMFILE, "none left")
 
-    monkeypatch.setattr(listeners, "REST_S", 3600.0)
+    monkeypatch.setattr(listeners, "ACCEPT_PAUSE_S", 3600.0)
     sock = Full()
     sock.bind(("127.0.0.1", 0))
     listener = Listener(sock, asyncio.Protocol, lambda: made.append("room"))
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -106,7 +106,7 @@
 def follow(world: World) -> Following:
     """A driver that follows the world's list."""
     config = load(world.environment())
-    driver = Following(config, Journal(config.state, config.disk_bytes))
+    driver = Following(config, Journal(config.state_dir, config.disk_bytes))
     driver.start()
     return driver
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -100,7 +100,7 @@
     client.writer.write(data)
     assert await soon(client.reader.read()) == line
     assert await served.command(b"PING") == b"+PONG"
-    assert 2 < clients.PATIENCE_S < 3
+    assert 2 < clients.REQUEST_TIMEOUT_S < 3
 
 
 async def test_a_request_that_stops_halfway_ends_a_served_connection(world: World) -> None:
--- a/tests/test_resource_usage.py
+++ b/tests/test_resource_usage.py
@@ -11,17 +11,23 @@
 import pytest
 
 from relay import resource_usage
-from relay.resource_usage import Counted, Ledger, Mark, Used, figures
+from relay.resource_usage import CostReporter, ProcessUsage, RelayCounters, Sample, compute_figures
 from standins.scripted import World, silent, soon
 
-COUNTED = Counted(ended=10, module_us=300, journal_bytes=2_000, journal_writes=30, descriptors={"clients": 4})
-USED = Used(user_us=800, system_us=200, resident_bytes=5_000, most_resident_bytes=9_000, descriptors=11)
+COUNTED = RelayCounters(
+    ended_messages=10, module_us=300, journal_bytes=2_000, journal_writes=30, descriptors={"clients": 4}
+)
+USED = ProcessUsage(
+    user_us=800, system_us=200, resident_bytes=5_000, max_resident_bytes=9_000, descriptors=11
+)
 TICK_US = 1e6 / os.sysconf("SC_CLK_TCK")  # in which the system tells a process's time from outside
 
 
-def by_name(system: Used, counted: Counted = COUNTED, since: Mark | None = None) -> dict[str, int]:
+def by_name(
+    system: ProcessUsage, counted: RelayCounters = COUNTED, since: Sample | None = None
+) -> dict[str, int]:
     """The figures of one reading."""
-    return {name: value for name, value, _ in figures(counted, system, since, (), 7_000)}
+    return {name: value for name, value, _ in compute_figures(counted, system, since, (), 7_000)}
 
 
 @pytest.fixture
@@ -40,7 +46,7 @@
 
 
 def test_a_window_counts_from_its_mark() -> None:
-    told = by_name(USED, since=Mark(at_us=2_000, cpu_us=400, ended=7))
+    told = by_name(USED, since=Sample(at_us=2_000, cpu_us=400, ended_messages=7))
     assert told["window.length_us"] == 5_000
     assert told["window.messages_ended"] == 3
     assert told["window.processor_us_per_message"] == 200
@@ -48,7 +54,7 @@
 
 def test_what_nobody_knows_is_left_out_and_never_zero() -> None:
     """Neither a source that the platform lacks, nor a cost of messages where none ended."""
-    told = by_name(Used(800, 200, None, None, None), Counted(0, 300, 0, 0, {"clients": 4}))
+    told = by_name(ProcessUsage(800, 200, None, None, None), RelayCounters(0, 300, 0, 0, {"clients": 4}))
     assert set(told) == {
         "processor.user_us",
         "processor.system_us",
@@ -59,31 +65,31 @@
         "journal.bytes",
         "journal.writes",
     }
-    told = by_name(USED, since=Mark(at_us=0, cpu_us=400, ended=10))
+    told = by_name(USED, since=Sample(at_us=0, cpu_us=400, ended_messages=10))
     assert told["window.processor_us"] == 600
     assert "window.processor_us_per_message" not in told
 
 
 def test_a_platform_without_its_sources(tmp_path: Path) -> None:
-    told = resource_usage.used(tmp_path)
-    assert (told.resident_bytes, told.most_resident_bytes, told.descriptors) == (None, None, None)
-    names = {line.partition(":")[0] for line in Ledger(lambda: COUNTED, tmp_path).lines()}
+    told = resource_usage.read_process_usage(tmp_path)
+    assert (told.resident_bytes, told.max_resident_bytes, told.descriptors) == (None, None, None)
+    names = {line.partition(":")[0] for line in CostReporter(lambda: COUNTED, tmp_path).lines()}
     assert "cost.messages.ended" in names
     assert not any("memory" in name or name == "cost.descriptors.open" for name in names)
 
 
 async def test_the_window_is_bounded_and_ends_with_the_ledger(monkeypatch: pytest.MonkeyPatch) -> None:
     """A loop that stands still for a while shows as lag."""
-    monkeypatch.setattr(resource_usage, "TICK_S", 0.001)
-    ledger = Ledger(lambda: COUNTED)
+    monkeypatch.setattr(resource_usage, "SAMPLE_INTERVAL_S", 0.001)
+    ledger = CostReporter(lambda: COUNTED)
     ledger.start()
-    while len(ledger._lags_us) < resource_usage.WINDOW_TICKS:
+    while len(ledger._lags_us) < resource_usage.WINDOW_SAMPLES:
         await asyncio.sleep(0.001)
     for _ in range(50):
         await asyncio.sleep(0.001)
-    assert (len(ledger._lags_us), len(ledger._marks)) == (
-        resource_usage.WINDOW_TICKS,
-        resource_usage.WINDOW_TICKS,
+    assert (len(ledger._lags_us), len(ledger._samples)) == (
+        resource_usage.WINDOW_SAMPLES,
+        resource_usage.WINDOW_SAMPLES,
     )
     assert any(line.startswith("cost.window.most_loop_lag_us:") for line in ledger.lines())
     assert "processor.us_per_message" in ledger.summary()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from relay.resp import ProtocolError, least_size, request_at
+from relay.resp import ProtocolError, min_request_size, parse_request
 from standins.scripted import packed
 
 MOST = 1000
@@ -16,8 +16,8 @@
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=16), st.binary(max_size=20))
 def test_a_request_is_read_whole_and_no_further(words: list[bytes], rest: bytes) -> None:
     data = packed(*words)
-    assert request_at(data + rest, MOST) == (words, len(data))
-    assert all(request_at(data[:size], MOST) is None for size in range(len(data)))
+    assert parse_request(data + rest, MOST) == (words, len(data))
+    assert all(parse_request(data[:size], MOST) is None for size in range(len(data)))
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
 )
 def test_bytes_that_are_no_resp_are_told(data: bytes) -> None:
     with pytest.raises(ProtocolError):
-        request_at(data, MOST)
+        parse_request(data, MOST)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     ],
 )
 def test_other_values_are_no_requests_and_have_an_end(data: bytes) -> None:
-    assert request_at(data + b"*1\r\n", MOST) == (None, len(data))
+    assert parse_request(data + b"*1\r\n", MOST) == (None, len(data))
 
 
 @profile(deadline=None, derandomize=True, database=None)
@@ -71,10 +71,10 @@
         if size < least:
             continue
         looks += 1
-        if request_at(data[:size], MOST) is not None:
+        if parse_request(data[:size], MOST) is not None:
             assert size == len(data)
             break
-        least = least_size(data[:size])
+        least = min_request_size(data[:size])
         assert least > size
     else:
         raise AssertionError("missed")
@@ -83,6 +83,6 @@
 
 def test_a_wrong_end_is_found_with_its_first_byte() -> None:
     begun = b"*1\r\n$500\r\n" + bytes(400)
-    least = least_size(begun)
+    least = min_request_size(begun)
     with pytest.raises(ProtocolError):
-        request_at(begun + bytes(least - len(begun)), MOST)
+        parse_request(begun + bytes(least - len(begun)), MOST)
