--- a/fleetlab/scale/held_load.py
+++ b/fleetlab/scale/held_load.py
@@ -8,8 +8,8 @@
 
 from decisions.interface import Effect, Entry, Listing, MessageClass, Settings
 from fleetlab.scale.endpoints import ZONES
-from relay.driver import Handed, Held
-from relay.journal import reserve
+from relay.driver import ClientMessage, HeldMessage
+from relay.journal import later_records_bytes
 
 DESTINATIONS = 31_000
 DOWN = 682  # of them, 2.2%
@@ -37,15 +37,15 @@
 SPREAD, ONE = Placement(one_holds_most=False), Placement(one_holds_most=True)
 
 
-def message(number: int, destination: int, now_us: int, random: Random) -> Held:
+def message(number: int, destination: int, now_us: int, random: Random) -> HeldMessage:
     """One message as a relay holds it; its identifier is as long as a client's."""
     name = f"{random.getrandbits(64):016x}-{number:09d}"
     deadline_us = now_us + random.randrange(EARLIEST_US, LATEST_US)
-    handed = Handed(name, destination, SEAT_STATUS.name, deadline_us, "tenant-1", "", f"key-{name}")
-    return Held(handed, random.randbytes(BODY_BYTES))
+    handed = ClientMessage(name, destination, SEAT_STATUS.name, deadline_us, "tenant-1", "", f"key-{name}")
+    return HeldMessage(handed, random.randbytes(BODY_BYTES))
 
 
-def backlog(count: int, placement: Placement, seed: int) -> Iterator[Held]:
+def backlog(count: int, placement: Placement, seed: int) -> Iterator[HeldMessage]:
     """The messages of a backlog, in the order of their arrival."""
     random = Random(seed)
     for number in range(count):
@@ -76,6 +76,6 @@
     )
 
 
-def reserved_bytes(held: Held) -> int:
+def reserved_bytes(held: HeldMessage) -> int:
     """Room that the journal keeps free for what may still be said of the message."""
-    return reserve(held.handed.id)
+    return later_records_bytes(held.message.id)
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -63,7 +63,7 @@
     begun_s = time.monotonic()
     driver.start()
     take_up_s = time.monotonic() - begun_s
-    held, after_bytes = driver.figures.in_flight, resident_bytes()
+    held, after_bytes = driver.stats.in_flight, resident_bytes()
     driver.close()
     return Replay(recovered, held, journal_s, take_up_s, before_bytes, peak_bytes, after_bytes)
 
--- a/fleetlab/scale/simulated_module.py
+++ b/fleetlab/scale/simulated_module.py
@@ -26,7 +26,7 @@
 )
 from fleetlab.scale.held_load import DESTINATIONS, DOWN, START_US, entries, host_of, settings
 from fleetlab.scale.process import processor_seconds
-from relay.driver import Held
+from relay.driver import HeldMessage
 
 STEP_US = 20_000  # between steps while nothing is looked at
 SERVED_US, REFUSED_US = 20_000, 1_000  # until a call is answered, or its connection is refused
@@ -52,7 +52,7 @@
     """One relay's module, the messages that it holds, and endpoints that answer or refuse at once."""
 
     def __init__(
-        self, held: dict[str, Held], hold_cap: int, seed: int, destinations: int = DESTINATIONS
+        self, held: dict[str, HeldMessage], hold_cap: int, seed: int, destinations: int = DESTINATIONS
     ) -> None:
         self.relay, self.held = TimedRelay(settings(hold_cap), seed), held
         self.now_us, self.delivered = START_US, 0
@@ -66,9 +66,9 @@
         """When the next call ends; now where none is out."""
         return self._coming[0][0] if self._coming else self.now_us
 
-    def arrival(self, held: Held) -> Arrival:
+    def arrival(self, held: HeldMessage) -> Arrival:
         """Take a message on."""
-        handed = held.handed
+        handed = held.message
         self.held[handed.id] = held
         left_us = handed.deadline_us - self.now_us
         return Arrival(handed.id, handed.dest, handed.cls, left_us, handed.tenant, handed.order)
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -28,8 +28,8 @@
 from fleetlab.scale.replay import replayed
 from fleetlab.scale.simulated_module import STEP_US, HollowModule, lines_run
 from fleetlab.scale.subject import Subject
-from relay.driver import Held
-from relay.journal import BLOCK, Attempt, Journal
+from relay.driver import HeldMessage
+from relay.journal import BLOCK_BYTES, Attempt, Journal
 
 BYTES_PER_MESSAGE = 6_000  # upper estimate of memory: this process and the one that replays
 BYTES_OF_LIST = 300_000_000  # the same for the module's 31,000 destinations
@@ -56,12 +56,12 @@
         self.longest_s = max(self.longest_s, time.perf_counter() - begun_s)
 
 
-def disk_bytes(messages: list[Held], record_bytes: int) -> int:
+def disk_bytes(messages: list[HeldMessage], record_bytes: int) -> int:
     """The disk that a relay must be given to accept messages with so many bytes of records.
 
     Old and new log stand side by side during a compaction, each with room for what may be said later.
     """
-    return 2 * (record_bytes + sum(map(reserved_bytes, messages)) + BLOCK) + 4 * BLOCK
+    return 2 * (record_bytes + sum(map(reserved_bytes, messages)) + BLOCK_BYTES) + 4 * BLOCK_BYTES
 
 
 def ample_bytes(count: int) -> int:
@@ -69,11 +69,11 @@
     return AMPLE_BYTES * count + SPARE_BYTES
 
 
-def fill(journal: Journal, messages: list[Held]) -> float:
+def fill(journal: Journal, messages: list[HeldMessage]) -> float:
     """Accept all of them; the seconds that it took."""
     begun_s = time.perf_counter()
     for held in messages:
-        journal.accept(held.handed.id, held.handed.fields, held.body)
+        journal.accept(held.message.id, held.message.fields, held.body)
     return time.perf_counter() - begun_s
 
 
@@ -81,19 +81,19 @@
     """Messages that are accepted, tried and over one after the other, beside what stays."""
     for number in range(count):
         held = message(number, DESTINATIONS - 1, START_US, random)
-        name = held.handed.id
-        journal.accept(name, held.handed.fields, held.body)
-        journal.tries([(name, Attempt(0, "s-30999", "east-1", number))])
-        journal.over(name)
+        name = held.message.id
+        journal.accept(name, held.message.fields, held.body)
+        journal.record_attempts([(name, Attempt(0, "s-30999", "east-1", number))])
+        journal.record_over(name)
 
 
 def journal_readings(
-    journal: WatchedJournal, folder: Path, messages: list[Held], seed: int, churned: int = CHURN
+    journal: WatchedJournal, folder: Path, messages: list[HeldMessage], seed: int, churned: int = CHURN
 ) -> list[Reading]:
     """Accept, replay, and traffic beside the backlog, with the real journal."""
     before_bytes = resident_bytes()
     accept_s = fill(journal, messages)
-    record_bytes, writes = journal.written_bytes, journal.writes
+    record_bytes, writes = journal.written_bytes, journal.write_count
     kept_bytes = resident_bytes() - before_bytes
     restart = replayed(folder, ample_bytes(len(messages)))
     churn(journal, Random(seed + 1), churned)
@@ -118,7 +118,7 @@
     ]
 
 
-def build_up(module: HollowModule, messages: list[Held]) -> None:
+def build_up(module: HollowModule, messages: list[HeldMessage]) -> None:
     """Hand the backlog in, many messages to a step."""
     for start in range(0, len(messages), BATCH):
         module.advance(ROUND_US, [module.arrival(held) for held in messages[start : start + BATCH]])
@@ -161,7 +161,7 @@
     return statistics.median(arrivals), statistics.median(ends)
 
 
-def module_readings(held: dict[str, Held], seed: int) -> list[Reading]:
+def module_readings(held: dict[str, HeldMessage], seed: int) -> list[Reading]:
     """The module at that backlog: memory, and what its steps cost."""
     random = Random(seed + 2)
     messages = list(held.values())
@@ -221,7 +221,7 @@
 def measure(placement: Placement, size: int, seed: int) -> list[Reading]:
     """The stages one after the other, so that the memory of each is its own."""
     before_bytes = resident_bytes()
-    held = {held.handed.id: held for held in backlog(size, placement, seed)}
+    held = {held.message.id: held for held in backlog(size, placement, seed)}
     held_bytes = resident_bytes() - before_bytes
     with tempfile.TemporaryDirectory(prefix="backlog-") as folder:
         journal = WatchedJournal(Path(folder), ample_bytes(size))
--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -12,7 +12,7 @@
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.backlog import ample_bytes, disk_bytes, fill
-from relay.driver import BODIES_SHARE
+from relay.driver import HELD_BODIES_MEMORY_SHARE
 from relay.journal import Journal
 from relay.resource_usage import read_memory_bytes
 from standins.scripted import Client, World, settings_json, silent
@@ -48,7 +48,7 @@
     world.settings["request_classes"] = [class_json()]
     world.settings["domain"] |= {"calls_out": SLOTS}
     world.disk_mb = disk / MB
-    world.memory_mb = LEAST_MEMORY_MB + int(messages * BODY_BYTES / BODIES_SHARE / MB)
+    world.memory_mb = LEAST_MEMORY_MB + int(messages * BODY_BYTES / HELD_BODIES_MEMORY_SHARE / MB)
     world.admin_port = world.free_port()
 
 
--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -22,20 +22,26 @@
 from relay import config
 from relay.admin import PREDECESSOR_ADDRESS_S, AdminServer, RequestHandler
 from relay.clients import Server
-from relay.driver import Counts, Driver, Heard, layout
-from relay.handover import Estate, Inheritance, Lock, Offer, succeed
+from relay.driver import AnyVersionState, Driver, MessageCounts, layout
+from relay.handover import HandoverPayload, HandoverServer, ReceivedHandover, RelayLock, become_relay
 from relay.journal import Journal
 from relay.listeners import Listener, duplicate_socket, listen_at, listen_when_free
 from relay.resource_usage import CostReporter, RelayCounters
 
 LOG = logging.getLogger("relay")
-SERVE_S = 2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
-LAST_S = 3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
-TURNS = 5  # of the loop, in which connections that are accepted come up and what they brought is answered
-SPARE = 16  # descriptors of a process beside those of clients, calls and idle connections
-COST_S = 60.0  # s between log lines on what the process uses
-FILES = 2  # the journal and the lock
-LOOK_S = 0.02  # s between looks whether a shutdown is complete
+SERVE_AFTER_SIGTERM_S = (
+    2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
+)
+EXIT_AFTER_SIGTERM_S = (
+    3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
+)
+EVENT_LOOP_TURNS = (
+    5  # of the loop, in which connections that are accepted come up and what they brought is answered
+)
+SPARE_DESCRIPTORS = 16  # descriptors of a process beside those of clients, calls and idle connections
+COST_LOG_INTERVAL_S = 60.0  # s between log lines on what the process uses
+STATE_FILE_DESCRIPTORS = 2  # the journal and the lock
+SHUTDOWN_POLL_S = 0.02  # s between looks whether a shutdown is complete
 
 
 class Service:
@@ -44,32 +50,32 @@
     def __init__(self, cfg: config.Config) -> None:
         # Asked for at the start, as long as the files are this process's own; without a passed socket nobody
         # will ask, and to read them costs a fifteenth of a start.
-        self._cfg, self._layout = cfg, layout(cfg.settings) if cfg.passed_socket is not None else ""
-        self.ended: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self._config, self._layout = cfg, layout(cfg.settings) if cfg.passed_socket is not None else ""
+        self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self.admin = AdminServer()
-        self._costs: asyncio.TimerHandle | None = None  # of the next line on costs
+        self._cost_timer: asyncio.TimerHandle | None = None  # of the next line on costs
         # Without a passed socket no other process could accept this one's clients.
-        self._path = cfg.shared_dir / "handover.sock"
-        self.lock = Lock(cfg.state_dir)
+        self._handover_path = cfg.shared_dir / "handover.sock"
+        self.lock = RelayLock(cfg.state_dir)
 
     async def start(self) -> None:
         """Become the relay, with what the process before gives or what the journal holds."""
-        cfg = self._cfg
+        cfg = self._config
         if cfg.admin is not None:
             # The relay still answers there for a while where the process before it did.
             await self.admin.start(await listen_when_free(cfg.admin, PREDECESSOR_ADDRESS_S + 1))
-        given = await succeed(self.lock, self._path, self._layout)
+        given = await become_relay(self.lock, self._handover_path, self._layout)
         self.journal = Journal(cfg.state_dir, cfg.disk_bytes)
-        self.driver = Driver(cfg, self.journal, self._crashed)
+        self.driver = Driver(cfg, self.journal, self._on_crash)
         self.server = Server(self.driver, cfg.max_sockets // 2, cfg.memory_bytes)
         if given is None:
             self.driver.start()
         else:
-            await self._take(given)
+            await self._restore(given)
         sock = listen_at(cfg.listen) if cfg.passed_socket is None else duplicate_socket(cfg.passed_socket)
         await self.server.start(sock)
-        release = given.giver.close if given is not None else lambda: None
-        self.ledger = CostReporter(self._counted)
+        release = given.sender.close if given is not None else lambda: None
+        self.ledger = CostReporter(self._resource_counts)
         self.admin.handler = RequestHandler(
             self.driver, lambda: self.server.serving, release, self.ledger.lines
         )
@@ -77,59 +83,59 @@
             release()
         else:
             self.ledger.start()
-            self._tell_costs_later()
-        self.offer = Offer(
-            self._path,
+            self._schedule_cost_log()
+        self.offer = HandoverServer(
+            self._handover_path,
             self._layout,
             self.lock,
-            still=self._still,
-            estate=self._estate,
-            go_on=self._go_on,
+            still=self._quiesce,
+            estate=self._export_payload,
+            go_on=self._resume_serving,
         )
         if cfg.passed_socket is not None:
             self.offer.start()
 
-    def _counted(self) -> RelayCounters:
+    def _resource_counts(self) -> RelayCounters:
         """What the parts know of their cost."""
-        counts = self.driver.figures.counts
+        counts = self.driver.stats.counts
         return RelayCounters(
             ended_messages=counts.ended.total(),
             module_us=self.driver.module_us,
             journal_bytes=self.journal.written_bytes,
-            journal_writes=self.journal.writes,
+            journal_writes=self.journal.write_count,
             descriptors={
                 "clients": self.server.connection_count,
-                **self.driver.descriptors,
+                **self.driver.descriptor_counts,
                 "operators": len(self.admin.connections),
-                "files": FILES,
+                "files": STATE_FILE_DESCRIPTORS,
             },
-            calls=self.driver.calls,
+            calls=self.driver.call_counts,
             ended_clients={str(why): count for why, count in self.server.ended_counts.items()},
-            refused_messages={str(why): count for why, count in self.driver.refusals.items()},
+            refused_messages={str(why): count for why, count in self.driver.refusal_counts.items()},
         )
 
-    def _tell_costs_later(self) -> None:
-        self._costs = asyncio.get_running_loop().call_later(COST_S, self._tell_costs)
+    def _schedule_cost_log(self) -> None:
+        self._cost_timer = asyncio.get_running_loop().call_later(COST_LOG_INTERVAL_S, self._log_costs)
 
-    def _tell_costs(self) -> None:
+    def _log_costs(self) -> None:
         LOG.info("cost: %s", self.ledger.summary())
-        self._tell_costs_later()
+        self._schedule_cost_log()
 
-    def _crashed(self, _error: BaseException) -> None:
-        if not self.ended.done():
-            self.ended.set_result(1)
+    def _on_crash(self, _error: BaseException) -> None:
+        if not self.exit_code.done():
+            self.exit_code.set_result(1)
 
-    async def _still(self, same: bool) -> None:
+    async def _quiesce(self, same: bool) -> None:
         """Accept nobody, and let come up what is accepted, and end what the other could not go on with."""
         if not same:
             loop = asyncio.get_running_loop()
-            self.driver.shut_down(loop.time() + SERVE_S)
-            await until(loop.time() + SERVE_S, lambda: self.driver.idle, 0.0)
+            self.driver.shut_down(loop.time() + SERVE_AFTER_SIGTERM_S)
+            await until(loop.time() + SERVE_AFTER_SIGTERM_S, lambda: self.driver.idle, 0.0)
         for listener in self._listeners:
             listener.pause()
-        await turns()
+        await run_ready_callbacks()
 
-    async def _go_on(self) -> None:
+    async def _resume_serving(self) -> None:
         """Nothing was taken: serve on."""
         self.driver.shut_down(None)
         for listener in self._listeners:
@@ -140,12 +146,14 @@
         clients = [self.server.listener] if self.server.listener is not None else []
         return clients + self.admin.listeners
 
-    def _estate(self, same: bool) -> Estate:
+    def _export_payload(self, same: bool) -> HandoverPayload:
         """All that the next process takes over: the admin's socket, the clients' and those of what is out."""
         clients, fds = self.server.export_clients()
-        heard, memory, out = self.driver.leave(self._cfg.max_sockets // 2 - len(fds) - SPARE)
+        heard, memory, out = self.driver.export_state(
+            self._config.max_sockets // 2 - len(fds) - SPARE_DESCRIPTORS
+        )
         own = [listener.sock.fileno() for listener in self.admin.listeners[:1]]
-        counts = self.driver.figures.counts
+        counts = self.driver.stats.counts
         told = {
             "heard": asdict(heard),
             "clients": clients,
@@ -153,29 +161,31 @@
             "ended": [[*name, count] for name, count in counts.ended.items()],
             "attempts": counts.attempts,
         }
-        return Estate(told, pickle.dumps(memory) if same else b"", own + fds + (out if same else []))
+        return HandoverPayload(told, pickle.dumps(memory) if same else b"", own + fds + (out if same else []))
 
-    async def _take(self, given: Inheritance) -> None:
+    async def _restore(self, given: ReceivedHandover) -> None:
         """Go on where the process before left off."""
-        told, socks = given.told, iter(given.socks)
-        former = Counts(Counter({(cls, end): count for cls, end, count in told["ended"]}), told["attempts"])
+        told, socks = given.any_version_state, iter(given.sockets)
+        former = MessageCounts(
+            Counter({(cls, end): count for cls, end, count in told["ended"]}), told["attempts"]
+        )
         for sock in islice(socks, told["admin"]):
             await self.admin.take_over(sock, former)
         clients = list(islice(socks, len(told["clients"])))
-        self.driver.heed(Heard(**told["heard"]))
-        if given.memory:
-            self.driver.go_on(pickle.loads(given.memory), socks)
+        self.driver.import_any_version_state(AnyVersionState(**told["heard"]))
+        if given.pickled_state:
+            self.driver.start_from(pickle.loads(given.pickled_state), socks)
         else:
             self.driver.start()
         await self.server.restore_clients(told["clients"], clients)
-        LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(given.memory))
+        LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(given.pickled_state))
 
     def close(self) -> None:
         """Let go of everything."""
         self.offer.close()
         self.ledger.close()
-        if self._costs is not None:
-            self._costs.cancel()
+        if self._cost_timer is not None:
+            self._cost_timer.cancel()
         self.admin.close()
         self.server.close()
         self.driver.close()
@@ -199,22 +209,22 @@
         start.cancel()
         return 0
     await start  # clients that were taken over are served before anything ends
-    loop.add_signal_handler(signal.SIGHUP, reload, service.driver)
+    loop.add_signal_handler(signal.SIGHUP, reload_discovery, service.driver)
     if moved.is_set():
-        reload(service.driver)
+        reload_discovery(service.driver)
     LOG.info("%s serves at %s:%d", cfg.name, *cfg.listen)
     LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.max_sockets)
     stop = loop.create_task(shut_down(terminated, service))
-    both: set[asyncio.Future[Any]] = {stop, service.ended}
+    both: set[asyncio.Future[Any]] = {stop, service.exit_code}
     await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
     service.close()
-    if service.ended.done():
-        return service.ended.result()
+    if service.exit_code.done():
+        return service.exit_code.result()
     stop.result()
     return 0
 
 
-def reload(driver: Driver) -> None:
+def reload_discovery(driver: Driver) -> None:
     """After SIGHUP: discovery has moved; a file that cannot be used changes nothing."""
     try:
         address = config.read_discovery_address(os.environ)
@@ -222,7 +232,7 @@
         LOG.error("SIGHUP: the configuration cannot be used: %s", error)
         return
     LOG.info("SIGHUP: discovery is at %s:%d", *address)
-    driver.follow(address)
+    driver.move_discovery(address)
 
 
 async def shut_down(terminated: asyncio.Event, service: Service) -> None:
@@ -236,27 +246,31 @@
     driver, server = service.driver, service.server
     service.offer.close()  # what is not given by now goes through the journal
     start_s = asyncio.get_running_loop().time()
-    driver.shut_down(start_s + LAST_S)
-    await until(start_s + SERVE_S, lambda: not server.connection_count and driver.idle, start_s + 0.5)
+    driver.shut_down(start_s + EXIT_AFTER_SIGTERM_S)
+    await until(
+        start_s + SERVE_AFTER_SIGTERM_S, lambda: not server.connection_count and driver.idle, start_s + 0.5
+    )
     server.close_clients()
     await until(
-        start_s + LAST_S, lambda: not server.connection_count and driver.idle, start_s + SERVE_S + 0.3
+        start_s + EXIT_AFTER_SIGTERM_S,
+        lambda: not server.connection_count and driver.idle,
+        start_s + SERVE_AFTER_SIGTERM_S + 0.3,
     )
-    await answer_what_came(server)
+    await answer_received_requests(server)
     LOG.info("SIGTERM: shut down")
 
 
-async def answer_what_came(server: Server) -> None:
+async def answer_received_requests(server: Server) -> None:
     """Answer the requests that have arrived by now, also on connections that are not accepted yet."""
-    await turns()
+    await run_ready_callbacks()
     if server.listener is not None:
         server.listener.pause()
-    await turns()
+    await run_ready_callbacks()
 
 
-async def turns() -> None:
+async def run_ready_callbacks() -> None:
     """Let the loop do all that is ready."""
-    for _ in range(TURNS):
+    for _ in range(EVENT_LOOP_TURNS):
         await asyncio.sleep(0)
 
 
@@ -264,7 +278,7 @@
     """Wait until it is done, between two times."""
     loop = asyncio.get_running_loop()
     while loop.time() < last_s and not (loop.time() >= first_s and done()):
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(SHUTDOWN_POLL_S)
 
 
 def main() -> int:
--- a/relay/admin.py
+++ b/relay/admin.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from relay.driver import ENDS, Counts, Driver, Figures
+from relay.driver import MESSAGE_RESULTS, Driver, MessageCounts, OperatorStats
 from relay.http import MAX_HEAD_BYTES
 from relay.journal import JournalFullError
 from relay.listeners import Listener
@@ -37,7 +37,7 @@
 }
 FIGURE_PREFIX = "app"
 PREDECESSOR_ADDRESS_S = 3.0  # s in which the address of the process before is answered too
-NO_COUNTS = Counts(Counter(), 0)
+NO_COUNTS = MessageCounts(Counter(), 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,13 +58,13 @@
         return told + [(b"Allow", self.allow)] * bool(self.allow)
 
 
-def render_figures(figures: Figures, former: Counts) -> str:
+def render_figures(figures: OperatorStats, former: MessageCounts) -> str:
     """The figures in the operators' form, one a line; those of a process before are counted on."""
     counts = former + figures.counts
 
     def lines() -> Iterator[str]:
         for cls in figures.classes:
-            for end in ENDS:
+            for end in MESSAGE_RESULTS:
                 yield f"requests.{cls}.{end}:{counts.ended[cls, end]}|c"
         yield f"attempts:{counts.attempts}|c"
         yield f"in_flight:{figures.in_flight}|g"
@@ -97,7 +97,7 @@
         self._driver, self._takes_clients, self._on_healthy = driver, takes_clients, said_yes
         self._cost_lines = costs  # a line for each figure of what the process uses
 
-    def answer(self, method: bytes, target: bytes, former: Counts) -> Answer:
+    def answer(self, method: bytes, target: bytes, former: MessageCounts) -> Answer:
         """The answer to one call, at the address of a process that counted so much before."""
         path, _, query = target.decode("latin-1").partition("?")
         if (allowed := METHOD_BY_PATH.get(path)) is None:
@@ -107,7 +107,7 @@
         if path == HEALTH_PATH:
             return self._health()
         if path == STATS_PATH:
-            return Answer(200, render_figures(self._driver.figures, former))
+            return Answer(200, render_figures(self._driver.stats, former))
         if path == COST_PATH:
             return Answer(200, "".join(f"{FIGURE_PREFIX}.{line}\n" for line in self._cost_lines()))
         return self._ban(parse_endpoint_id(query), path == CORDON_PATH)
@@ -122,7 +122,7 @@
         if not host:
             return Answer(400, "the call names one endpoint as who=ID\n")
         try:
-            known = self._driver.ban(host, banned)
+            known = self._driver.set_banned(host, banned)
         except JournalFullError as error:
             LOG.error("operators: a ban was not kept: %s", error)
             return Answer(503, "the ban could not be kept\n")
@@ -134,7 +134,7 @@
 class OperatorConnection(asyncio.Protocol):
     """One operator's connection and its one call."""
 
-    def __init__(self, admin: AdminServer, former: Counts) -> None:
+    def __init__(self, admin: AdminServer, former: MessageCounts) -> None:
         self._admin, self._predecessor_counts = admin, former
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
@@ -224,17 +224,17 @@
         )  # the one heard of last stands last
         self.listeners: list[Listener] = []  # the own one first
 
-    async def start(self, sock: socket.socket, former: Counts = NO_COUNTS) -> None:
+    async def start(self, sock: socket.socket, former: MessageCounts = NO_COUNTS) -> None:
         """Begin to answer."""
         self.listeners.append(Listener(sock, lambda: OperatorConnection(self, former)))
         await self.listeners[-1].start()
 
-    async def take_over(self, sock: socket.socket, former: Counts) -> None:
+    async def take_over(self, sock: socket.socket, former: MessageCounts) -> None:
         """Answer for a while at the address of the process before, as it would have."""
         await self.start(sock, former)
         asyncio.get_running_loop().call_later(PREDECESSOR_ADDRESS_S, self.listeners[-1].close)
 
-    def answer(self, request: h11.Request, former: Counts) -> Answer:
+    def answer(self, request: h11.Request, former: MessageCounts) -> Answer:
         """The answer to one call."""
         if self.handler is None:
             return Answer(503, "starting\n")
--- a/relay/clients.py
+++ b/relay/clients.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from relay import resp
-from relay.driver import Driver, Handed
+from relay.driver import ClientMessage, Driver
 from relay.listeners import Listener
 from relay.reasons import EndReason, RefusalReason
 
@@ -56,7 +56,7 @@
     return int(text)
 
 
-def parse_enqueue(args: list[bytes], now_us: int) -> tuple[Handed, bytes]:
+def parse_enqueue(args: list[bytes], now_us: int) -> tuple[ClientMessage, bytes]:
     """The message in an ENQUEUE request; its time counts from ``now_us``."""
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
@@ -72,7 +72,7 @@
     if (dest := parse_number(pairs, b"dest")) > MAX_DEST:
         raise BadRequestError("dest is out of range")
     left_ms = min(parse_number(pairs, b"d"), MAX_TIME_LEFT_MS)
-    handed = Handed(
+    handed = ClientMessage(
         id=parse_token(ref, "the id"),
         dest=dest,
         cls=parse_token(pairs.get(b"c", b""), "c"),
@@ -371,11 +371,11 @@
             return b"-ERR unknown class\r\n"
         refusal = RefusalReason.SHUTDOWN if self.shutting_down else self._driver.accept(handed, body)
         if refusal is not None:
-            self._driver.refused(handed.cls, refusal)
+            self._driver.count_refusal(handed.cls, refusal)
             return self.busy_reply
         return b"+OK\r\n"
 
     @property
     def busy_reply(self) -> bytes:
         """The refusal that tells when to come again."""
-        return b"-BUSY %d\r\n" % self._driver.busy_ms
+        return b"-BUSY %d\r\n" % self._driver.busy_retry_ms
--- a/relay/handover.py
+++ b/relay/handover.py
@@ -23,38 +23,38 @@
 from typing import Any
 
 LOG = logging.getLogger(__name__)
-LOOK_S = 0.01  # s between looks whether the lock is free or its holder can be asked
-ASK_S = 1.0  # s in which the one that asks has to say what it can take
-GIVE_S = 1.0  # s in which the other has to take each piece while this process stands still
-ANSWER_S = 10.0  # s for the first word of the holder, which may let its calls end before
-STAY_S = 30.0  # s that a process which gave everything away waits for its end
-PIECE, MOST_FDS = 32 * 1024, 200  # bytes in a message; descriptors in one
-MOST_PATH = 107  # bytes of a Unix socket's address
+LOCK_POLL_S = 0.01  # s between looks whether the lock is free or its holder can be asked
+REQUEST_TIMEOUT_S = 1.0  # s in which the one that asks has to say what it can take
+TRANSFER_TIMEOUT_S = 1.0  # s in which the other has to take each piece while this process stands still
+FIRST_ANSWER_TIMEOUT_S = 10.0  # s for the first word of the holder, which may let its calls end before
+EXIT_TIMEOUT_S = 30.0  # s that a process which gave everything away waits for its end
+CHUNK_BYTES, MAX_FDS_PER_MESSAGE = 32 * 1024, 200  # bytes in a message; descriptors in one
+MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix socket's address
 TAKEN, YOURS = b"taken", b"yours"
-FIRST_DESCRIPTOR = 3  # behind the standard streams
-CREDENTIALS = struct.Struct("3i")
+FIRST_NON_STANDARD_FD = 3  # behind the standard streams
+PEER_CREDENTIALS = struct.Struct("3i")
 
 
 @dataclass(slots=True)
-class Estate:
+class HandoverPayload:
     """Everything that one process gives to the next."""
 
-    told: dict[str, Any]  # what any version can read
-    memory: bytes  # what only the same layout can read; empty between others
+    any_version_state: dict[str, Any]  # what any version can read
+    pickled_state: bytes  # what only the same layout can read; empty between others
     fds: list[int]
 
 
 @dataclass(slots=True)
-class Inheritance:
+class ReceivedHandover:
     """An estate as it arrived; the giver waits at ``giver`` until that is closed."""
 
-    told: dict[str, Any]
-    memory: bytes
-    socks: list[socket.socket]
-    giver: socket.socket
+    any_version_state: dict[str, Any]
+    pickled_state: bytes
+    sockets: list[socket.socket]
+    sender: socket.socket
 
 
-class Lock:
+class RelayLock:
     """The one thing that makes a process the relay; it goes with the process that holds it."""
 
     def __init__(self, folder: Path) -> None:
@@ -63,11 +63,11 @@
         self.claimed = False
 
     @property
-    def descriptor(self) -> int:
+    def fd(self) -> int:
         """The open file that holds it."""
         return self._fd
 
-    def taken(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take it; False while another process holds it."""
         try:
             fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -82,9 +82,9 @@
 
 
 @contextmanager
-def short(path: Path) -> Iterator[str]:
+def address_of_path(path: Path) -> Iterator[str]:
     """A name for a socket's path that fits an address, however deep its folder lies."""
-    if len(os.fsencode(path)) <= MOST_PATH:
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
     fd = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -94,107 +94,107 @@
         os.close(fd)
 
 
-def trusted(sock: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Whether the other side runs as the same user: what it sends is taken for one's own memory."""
-    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    return bool(CREDENTIALS.unpack(raw)[1] == os.getuid())
+    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    return bool(PEER_CREDENTIALS.unpack(raw)[1] == os.getuid())
 
 
-def piece(sock: socket.socket, most: int = PIECE) -> bytes:
+def receive_chunk(sock: socket.socket, most: int = CHUNK_BYTES) -> bytes:
     """One message; an end in its place raises."""
     if not (data := sock.recv(most)):
         raise ConnectionResetError("the other process ended")
     return data
 
 
-def give(sock: socket.socket, estate: Estate) -> None:
+def send_payload(sock: socket.socket, estate: HandoverPayload) -> None:
     """Give everything away; ``OSError`` where the other did not take it, and nothing has changed then."""
-    sock.settimeout(GIVE_S)
-    told = json.dumps(estate.told).encode()
-    sizes = {"told": len(told), "memory": len(estate.memory), "fds": len(estate.fds)}
+    sock.settimeout(TRANSFER_TIMEOUT_S)
+    told = json.dumps(estate.any_version_state).encode()
+    sizes = {"told": len(told), "memory": len(estate.pickled_state), "fds": len(estate.fds)}
     sock.send(json.dumps(sizes).encode())
-    data = told + estate.memory
-    for at in range(0, len(data), PIECE):
-        sock.send(data[at : at + PIECE])
-    for at in range(0, len(estate.fds), MOST_FDS):
-        socket.send_fds(sock, [b"f"], estate.fds[at : at + MOST_FDS])
-    if piece(sock) != TAKEN:
+    data = told + estate.pickled_state
+    for at in range(0, len(data), CHUNK_BYTES):
+        sock.send(data[at : at + CHUNK_BYTES])
+    for at in range(0, len(estate.fds), MAX_FDS_PER_MESSAGE):
+        socket.send_fds(sock, [b"f"], estate.fds[at : at + MAX_FDS_PER_MESSAGE])
+    if receive_chunk(sock) != TAKEN:
         raise ConnectionResetError("the other process did not take it")
     sock.send(YOURS)
 
 
-def receive(sock: socket.socket, sizes: dict[str, int]) -> Inheritance:
+def receive_payload(sock: socket.socket, sizes: dict[str, int]) -> ReceivedHandover:
     """Everything that the other gives, up to its last word; ``OSError`` where it remains the relay."""
-    sock.settimeout(GIVE_S)
+    sock.settimeout(TRANSFER_TIMEOUT_S)
     data, socks = bytearray(), list[socket.socket]()
     try:
         while len(data) < sizes["told"] + sizes["memory"]:
-            data += piece(sock)
+            data += receive_chunk(sock)
         while len(socks) < sizes["fds"]:
-            word, fds, _, _ = socket.recv_fds(sock, 1, MOST_FDS)
+            word, fds, _, _ = socket.recv_fds(sock, 1, MAX_FDS_PER_MESSAGE)
             socks += [socket.socket(fileno=fd) for fd in fds]
             if not word or not fds:
                 raise ConnectionResetError("descriptors are missing")
         sock.send(TAKEN)
-        if piece(sock) != YOURS:
+        if receive_chunk(sock) != YOURS:
             raise ConnectionResetError("no last word")
     except OSError:
         for passed in socks:
             passed.close()
         raise
     told = json.loads(bytes(data[: sizes["told"]]))
-    return Inheritance(told, bytes(data[sizes["told"] :]), socks, sock)
+    return ReceivedHandover(told, bytes(data[sizes["told"] :]), socks, sock)
 
 
-async def ask(path: Path, layout: str) -> Inheritance | None:
+async def request_handover(path: Path, layout: str) -> ReceivedHandover | None:
     """Ask the holder of the lock for everything; None where nobody gives it."""
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.setblocking(False)
-        with short(path) as name:
+        with address_of_path(path) as name:
             await loop.sock_connect(sock, name)
-        if not trusted(sock):
+        if not is_same_user(sock):
             raise PermissionError("another user's process")
         await loop.sock_sendall(sock, json.dumps({"layout": layout}).encode())
-        async with asyncio.timeout(ANSWER_S):
-            first = await loop.sock_recv(sock, PIECE)
+        async with asyncio.timeout(FIRST_ANSWER_TIMEOUT_S):
+            first = await loop.sock_recv(sock, CHUNK_BYTES)
         if not first:
             raise ConnectionResetError("the other process ended")
-        return receive(sock, json.loads(first))
+        return receive_payload(sock, json.loads(first))
     except (OSError, TimeoutError, ValueError, KeyError) as error:
         LOG.info("handover: nothing was given: %r", error)
         sock.close()
         return None
 
 
-async def succeed(lock: Lock, path: Path, layout: str) -> Inheritance | None:
+async def become_relay(lock: RelayLock, path: Path, layout: str) -> ReceivedHandover | None:
     """Become the relay: with what its process gives, or with the journal alone (None) once that is gone."""
-    while not lock.taken():
-        if (given := await ask(path, layout)) is not None:
+    while not lock.try_acquire():
+        if (given := await request_handover(path, layout)) is not None:
             lock.claimed = True
-            while not lock.taken():  # the giver lets go of it right behind its last word
+            while not lock.try_acquire():  # the giver lets go of it right behind its last word
                 await asyncio.sleep(0)
             return given
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(LOCK_POLL_S)
     return None
 
 
-class Offer:
+class HandoverServer:
     """The relay's side: whoever asks at the socket and can take the relay over gets it."""
 
     def __init__(
         self,
         path: Path,
         layout: str,
-        lock: Lock,
+        lock: RelayLock,
         *,
         still: Callable[[bool], Awaitable[None]],
-        estate: Callable[[bool], Estate],
+        estate: Callable[[bool], HandoverPayload],
         go_on: Callable[[], Awaitable[None]],
     ) -> None:
         self._path, self._layout, self._lock = path, layout, lock
-        self._still, self._estate, self._go_on = still, estate, go_on
+        self._quiesce, self._export_payload, self._resume_serving = still, estate, go_on
         self._sock: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -204,7 +204,7 @@
         self._sock.setblocking(False)
         try:
             self._path.unlink(missing_ok=True)
-            with short(self._path) as name:
+            with address_of_path(self._path) as name:
                 self._sock.bind(name)
             self._sock.listen(4)
         except OSError as error:
@@ -223,47 +223,47 @@
         while True:
             sock, _ = await asyncio.get_running_loop().sock_accept(listening)
             try:
-                await self._asked(sock)
+                await self._handle_request(sock)
             except Exception:
                 LOG.exception("handover: a process that asked broke off")
             finally:
                 sock.close()
 
-    async def _asked(self, sock: socket.socket) -> None:
+    async def _handle_request(self, sock: socket.socket) -> None:
         """Give everything away and act no more, or go on as before."""
         loop = asyncio.get_running_loop()
-        if not trusted(sock):
+        if not is_same_user(sock):
             return
-        async with asyncio.timeout(ASK_S):
-            asked = json.loads(await loop.sock_recv(sock, PIECE) or b"{}")
+        async with asyncio.timeout(REQUEST_TIMEOUT_S):
+            asked = json.loads(await loop.sock_recv(sock, CHUNK_BYTES) or b"{}")
         if "layout" not in asked:
             return
         same = asked["layout"] == self._layout
         LOG.info("handover: asked for by a process of %s layout", "the same" if same else "another")
-        await self._still(same)
+        await self._quiesce(same)
         start_s = loop.time()
         try:
             # From here to the end nothing else runs in this process.
-            estate = self._estate(same)
-            give(sock, estate)
+            estate = self._export_payload(same)
+            send_payload(sock, estate)
         except Exception as error:
             LOG.error("handover: not taken in %.0f ms, serving on: %r", 1e3 * (loop.time() - start_s), error)
-            await self._go_on()
+            await self._resume_serving()
             return
         LOG.info("handover: %d sockets given in %.0f ms", len(estate.fds), 1e3 * (loop.time() - start_s))
-        leave(sock, self._lock)
+        close_all_and_exit(sock, self._lock)
 
 
-def close_all_but(kept: list[int]) -> None:
+def close_fds_except(kept: list[int]) -> None:
     """Close every descriptor but the standard streams and these."""
-    first = FIRST_DESCRIPTOR
+    first = FIRST_NON_STANDARD_FD
     for descriptor in sorted(kept):
         os.closerange(first, descriptor)
         first = descriptor + 1
     os.closerange(first, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def leave(sock: socket.socket, lock: Lock) -> None:
+def close_all_and_exit(sock: socket.socket, lock: RelayLock) -> None:
     """Let go of every descriptor, then of the lock; end once the other process says so, or SIGTERM.
 
     With the lock the other process acts: a call that it ends must not be kept open by a copy here.
@@ -272,9 +272,9 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    close_all_but([sock.fileno(), lock.descriptor])
+    close_fds_except([sock.fileno(), lock.fd])
     lock.close()
-    sock.settimeout(STAY_S)
+    sock.settimeout(EXIT_TIMEOUT_S)
     with suppress(OSError):
         sock.recv(1)
     os._exit(0)
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -25,7 +25,7 @@
     journal_readings,
 )
 from fleetlab.scale.subjects.replay_process import measure as measure_process
-from relay.driver import Held
+from relay.driver import HeldMessage
 from relay.journal import Journal, JournalFullError
 
 SIZES = (100, 200, 400, 800)
@@ -45,11 +45,11 @@
 
     def _append(self, records: list[tuple[list[Any], bytes]]) -> None:
         super()._append(records)
-        self._size += 1  # a log without garbage would be left as it is
+        self._size_bytes += 1  # a log without garbage would be left as it is
         self._compact()
 
 
-def messages(size: int) -> list[Held]:
+def messages(size: int) -> list[HeldMessage]:
     """A backlog."""
     return list(backlog(size, SPREAD, SEED))
 
@@ -127,7 +127,7 @@
     for size in MODULE_SIZES:
         random = Random(SEED)
         some = [message(number, 0, START_US, random) for number in range(size)]
-        module = HollowModule({held.handed.id: held for held in some}, 100_000, SEED, DOWN + 1)
+        module = HollowModule({held.message.id: held for held in some}, 100_000, SEED, DOWN + 1)
         build_up(module, some)
         assert module.relay.open_messages == size
         points.append((size, statistics.median(arrival_lines(module, random) for _ in range(STEPS))))
--- a/tests/test_concurrent_events.py
+++ b/tests/test_concurrent_events.py
@@ -12,7 +12,7 @@
 from decisions.interface import Verdict
 from relay import config
 from relay.calls import PartOutcome
-from relay.driver import Driver, Handed
+from relay.driver import ClientMessage, Driver
 from relay.journal import Journal
 from standins.scripted import Request, World, delivered, silent
 from tests.test_endpoint_calls import Calls, serving
@@ -33,9 +33,9 @@
     driver.close()
 
 
-def handed(driver: Driver, ref: str, cls: str, left_s: float) -> Handed:
+def handed(driver: Driver, ref: str, cls: str, left_s: float) -> ClientMessage:
     """A message with so much time left."""
-    return Handed(ref, 1, cls, driver.clock() + int(left_s * 1e6))
+    return ClientMessage(ref, 1, cls, driver.clock() + int(left_s * 1e6))
 
 
 async def test_a_delivery_that_crosses_the_end_of_its_time_is_told_by_a_notice_too(
@@ -48,7 +48,7 @@
     delivered(await host.call(0))
     hold_until(begun_s + 1.01)
     assert await world.directory.notice("m1") == {"ref": "m1", "result": "dead"}
-    assert driver.figures.in_flight == 0
+    assert driver.stats.in_flight == 0
     assert len(host.seen) == 1
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -178,7 +178,7 @@
 async def ask(world: World, *words: bytes) -> socket.socket:
     """Ask as a new process would, and say these words, then nothing."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with handover.short(world.folder / "handover.sock") as name:
+    with handover.address_of_path(world.folder / "handover.sock") as name:
         sock.connect(name)
     for word in words:
         sock.send(word)
@@ -233,8 +233,8 @@
 
 async def test_sigterm_ends_a_process_that_waits_for_the_lock(held: World) -> None:
     await held.run()
-    lock = handover.Lock(held.state)
-    assert not lock.taken()
+    lock = handover.RelayLock(held.state)
+    assert not lock.try_acquire()
     lock.close()
     old = held.process
     assert old is not None
@@ -259,7 +259,7 @@
 def test_a_deep_folder_still_has_an_address(tmp_path: Path) -> None:
     folder = tmp_path / ("d" * 120)
     folder.mkdir()
-    with socket.socket(socket.AF_UNIX) as sock, handover.short(folder / "handover.sock") as name:
+    with socket.socket(socket.AF_UNIX) as sock, handover.address_of_path(folder / "handover.sock") as name:
         sock.bind(name)
     assert (folder / "handover.sock").is_socket()
 
@@ -274,7 +274,7 @@
     given.close()
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(ConnectionResetError):
-        handover.receive(ours, {"told": len(told), "memory": 0, "fds": 1})
+        handover.receive_payload(ours, {"told": len(told), "memory": 0, "fds": 1})
     kept.settimeout(5)
     assert kept.recv(1) == b""  # the descriptor that had come was closed
     for sock in (ours, theirs, kept):
@@ -355,8 +355,8 @@
 
 def test_the_lock_is_let_go_of_last(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever has the lock acts: calls that it ends would stay open by the copies of the process before."""
-    lock = handover.Lock(tmp_path)
-    assert lock.taken()
+    lock = handover.RelayLock(tmp_path)
+    assert lock.try_acquire()
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     theirs.close()  # the other process has said that it has all
     closed = set[int]()
@@ -366,7 +366,7 @@
         closed.update(range(first, min(last, 4096)))
 
     def close(descriptor: int) -> None:
-        assert descriptor == lock.descriptor
+        assert descriptor == lock.fd
         closed_before_lock.append(set(closed))
 
     with monkeypatch.context() as patch:
@@ -375,8 +375,8 @@
         patch.setattr(os, "_exit", lambda code: None)
         patch.setattr(signal, "signal", lambda *_: None)
         patch.setattr(signal, "set_wakeup_fd", lambda _: None)
-        handover.leave(ours, lock)
-    kept = {ours.fileno(), lock.descriptor}
+        handover.close_all_and_exit(ours, lock)
+    kept = {ours.fileno(), lock.fd}
     assert closed_before_lock == [set(range(3, 4096)) - kept]
     assert not closed & kept
     lock.close()
@@ -389,10 +389,10 @@
     """Cut short there, it would close connections over requests that nobody has read."""
     loop = asyncio.get_running_loop()
     held.state.mkdir(exist_ok=True)
-    lock = handover.Lock(held.state)
-    assert lock.taken()
+    lock = handover.RelayLock(held.state)
+    assert lock.try_acquire()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listening:
-        with handover.short(held.folder / "handover.sock") as name:
+        with handover.address_of_path(held.folder / "handover.sock") as name:
             listening.bind(name)
         listening.listen()
         listening.setblocking(False)
@@ -410,7 +410,9 @@
         "ended": [],
         "attempts": 0,
     }
-    await loop.run_in_executor(None, handover.give, asking, handover.Estate(told, b"", [served.fileno()]))
+    await loop.run_in_executor(
+        None, handover.send_payload, asking, handover.HandoverPayload(told, b"", [served.fileno()])
+    )
     served.close()
     new.terminate()
     await asyncio.sleep(0.2)  # it has everything but the lock
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,8 +12,15 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from relay.driver import Handed
-from relay.journal import MARK, SLACK_BYTES, Attempt, Journal, JournalFullError, blocks
+from relay.driver import ClientMessage
+from relay.journal import (
+    MIN_COMPACTION_GARBAGE_BYTES,
+    RECORD_MARK,
+    Attempt,
+    Journal,
+    JournalFullError,
+    round_up_to_blocks,
+)
 
 DISK = 3_000_000
 
@@ -32,10 +39,10 @@
 def test_every_record_comes_back(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     accept(journal, "a", "b", "c", "d")
-    journal.tries([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
-    journal.never_ran("a", 0)
-    journal.end("c", "bounced", 500)
-    journal.over("d")
+    journal.record_attempts([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
+    journal.record_never_ran("a", 0)
+    journal.record_end("c", "bounced", 500)
+    journal.record_over("d")
     journal.close()
     found = reopened(tmp_path).recovered
     assert list(found) == ["a", "b", "c"]
@@ -76,11 +83,11 @@
 def test_compaction_keeps_what_is_open_and_bounds_the_log(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     accept(journal, "kept")
-    journal.tries([("kept", Attempt(0, "h", "z", 1))])
+    journal.record_attempts([("kept", Attempt(0, "h", "z", 1))])
     for number in range(3000):
         accept(journal, f"m{number}", size=50)
-        journal.over(f"m{number}")
-    assert (tmp_path / "journal").stat().st_size < 2 * SLACK_BYTES
+        journal.record_over(f"m{number}")
+    assert (tmp_path / "journal").stat().st_size < 2 * MIN_COMPACTION_GARBAGE_BYTES
     found = reopened(tmp_path).recovered
     assert list(found) == ["kept"]
     assert found["kept"].attempts == [Attempt(0, "h", "z", 1)]
@@ -89,14 +96,14 @@
 def test_bans_outlast_compaction_until_they_are_lifted(tmp_path: Path) -> None:
     journal = Journal(tmp_path, DISK)
     for host in ("h1", "h2", "h1"):
-        journal.ban(host, True)
-    for number in range(2 * SLACK_BYTES // 400):
+        journal.set_banned(host, True)
+    for number in range(2 * MIN_COMPACTION_GARBAGE_BYTES // 400):
         accept(journal, f"m{number}", size=100)
-        journal.over(f"m{number}")
-    assert (tmp_path / "journal").stat().st_size < 2 * SLACK_BYTES
-    journal.ban("h2", False)
+        journal.record_over(f"m{number}")
+    assert (tmp_path / "journal").stat().st_size < 2 * MIN_COMPACTION_GARBAGE_BYTES
+    journal.set_banned("h2", False)
     journal.close()
-    assert reopened(tmp_path).banned == ["h1"]
+    assert reopened(tmp_path).banned_hosts == ["h1"]
 
 
 def test_a_compaction_that_did_not_end_is_cleared_away(tmp_path: Path) -> None:
@@ -116,13 +123,13 @@
     assert refs
     for ref in refs:  # everything that can still be said of them fits
         for number in range(6):
-            journal.tries([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
-            journal.never_ran(ref, number)
-        journal.end(ref, "bounced", 2000)
-        assert sum(blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
+            journal.record_attempts([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
+            journal.record_never_ran(ref, number)
+        journal.record_end(ref, "bounced", 2000)
+        assert sum(round_up_to_blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
     assert {r.notice for r in reopened(tmp_path, disk).recovered.values()} == {("bounced", 2000)}
     for ref in refs:
-        journal.over(ref)
+        journal.record_over(ref)
     accept(journal, "again")
 
 
@@ -139,12 +146,12 @@
     journal = Journal(tmp_path, DISK)
     accept(journal, "kept")
     for number in range(7):
-        journal.tries([("kept", Attempt(number, f"h{number}", "z", 10 + number))])
+        journal.record_attempts([("kept", Attempt(number, f"h{number}", "z", 10 + number))])
         if number in (0, 1, 4, 6):
-            journal.never_ran("kept", number)
+            journal.record_never_ran("kept", number)
     for number in range(600):
         accept(journal, f"m{number}", size=200)
-        journal.over(f"m{number}")
+        journal.record_over(f"m{number}")
     assert reopened(tmp_path).recovered["kept"].attempts == [
         Attempt(2, "h2", "z", 12),
         Attempt(6, "h6", "z", 16, never_ran=True),
@@ -156,7 +163,7 @@
     journal.close()  # writes fail from here on
     with pytest.raises(JournalFullError):
         accept(journal, "a")
-    journal.over("a")  # told, not raised: it must not stop the relay
+    journal.record_over("a")  # told, not raised: it must not stop the relay
 
 
 STEPS = st.lists(
@@ -186,18 +193,18 @@
             journal.accept(ref, {}, body)
             now[ref] = (body, 0, None)
         elif word == "over":
-            journal.over(ref)
+            journal.record_over(ref)
             del now[ref]
         else:
             _, tries, notice = now[ref]
             if word == "try":
-                journal.tries([(ref, Attempt(tries, "h", "z", 1))])
+                journal.record_attempts([(ref, Attempt(tries, "h", "z", 1))])
                 now[ref] = (body, tries + 1, notice)
             elif word == "end":
-                journal.end(ref, "dead", 0)
+                journal.record_end(ref, "dead", 0)
                 now[ref] = (body, tries, ("dead", 0))
             else:
-                journal.never_ran(ref, 0)
+                journal.record_never_ran(ref, 0)
         states.append((path.stat().st_size, dict(now)))
     journal.close()
     end = max(0, path.stat().st_size - cut)
@@ -209,9 +216,9 @@
 
 def test_a_message_is_journaled_field_by_field() -> None:
     """The cheap form tells what the deep copy did."""
-    handed = Handed("m1", 3, "keyed", 123, "t", "", "k")
+    handed = ClientMessage("m1", 3, "keyed", 123, "t", "", "k")
     assert handed.fields == asdict(handed)
-    assert Handed(**json.loads(json.dumps(handed.fields))) == handed
+    assert ClientMessage(**json.loads(json.dumps(handed.fields))) == handed
 
 
 def test_a_compaction_that_finds_no_descriptor_is_made_later(
@@ -228,7 +235,7 @@
     accept(journal, "kept")
     for number in range(200):
         accept(journal, f"m{number}", size=500)
-        journal.over(f"m{number}")
+        journal.record_over(f"m{number}")
     assert any(name.endswith("journal.new") for name in tried)
     grown = (tmp_path / "journal").stat().st_size
     monkeypatch.setattr(os, "open", opened)
@@ -243,10 +250,10 @@
     journal = Journal(tmp_path, DISK)
     for name in ("a", "b"):
         journal.accept(name, {"id": name}, b"x")
-    journal.tries([("a", Attempt(0, "h1", "z", 5))])
+    journal.record_attempts([("a", Attempt(0, "h1", "z", 5))])
     journal.close()
     with (tmp_path / "journal").open("ab") as log:
-        log.write(MARK + b"half a record")
+        log.write(RECORD_MARK + b"half a record")
     lives = [Journal(tmp_path, DISK) for _ in range(3)]  # none of them ends in order
     assert all(life.recovered == lives[0].recovered for life in lives)
     assert [len(message.attempts) for message in lives[0].recovered.values()] == [1, 0]
--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -110,10 +110,10 @@
     """Each route's own, also over a restart where operators want that."""
     journal = Journal(tmp_path, 3_000_000)
     for number in range(MANY):
-        journal.ban(f"s-{number:030x}", True)
+        journal.set_banned(f"s-{number:030x}", True)
     journal.close()
     again = Journal(tmp_path, 3_000_000)
-    assert len(again.banned) == MANY
+    assert len(again.banned_hosts) == MANY
     again.close()
 
 
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -197,7 +197,7 @@
     await moved.start()
     put(moved, told_hosts(MANY + 1))
     moved.directory.seq = world.directory.seq + 1
-    driver.follow(("127.0.0.1", moved.directory.port))
+    driver.move_discovery(("127.0.0.1", moved.directory.port))
     assert "from=0" in (await moved.directory.call(0)).target
     await driver.until_known(MANY + 1)
     driver.close()
@@ -286,6 +286,6 @@
     put(world, told_hosts(3 * MANY))
     driver = follow(world)
     await driver.until_known(3 * MANY)
-    assert driver.ban(told_hosts(1)[0]["host"], True)
-    assert not driver.ban("never-listed", True)
+    assert driver.set_banned(told_hosts(1)[0]["host"], True)
+    assert not driver.set_banned("never-listed", True)
     driver.close()
