--- a/fleetlab/lease_holder.py
+++ b/fleetlab/lease_holder.py
@@ -16,7 +16,7 @@
 
 from fleetlab.fenced_counter import Act
 from fleetlab.program import PORT, main
-from quorum.client import Client, Keeper, QuorumError
+from quorum.client import Client, LeaseKeeper, QuorumError
 from tomlconfig import Address, address_of
 
 ACT_S = 0.02  # s between acts
@@ -48,23 +48,23 @@
                 self._connection = None
 
 
-async def hold(keeper: Keeper, task: Task, careless: bool) -> None:
+async def hold(keeper: LeaseKeeper, task: Task, careless: bool) -> None:
     """Act as long as the lease lasts, and give it back in order now and then.
 
     A careless one, which is planted, goes on where it had to stop: the resource's record has to show it.
     """
-    keeping = asyncio.ensure_future(keeper.keep())
+    keeping = asyncio.ensure_future(keeper.keep_renewed())
     acts, most = 0, 4 * RETURN_AFTER if careless else RETURN_AFTER
     try:
         while (careless or keeper.may_act()) and acts < most:
-            await task.act(keeper.holding.token)
+            await task.act(keeper.held_lease.token)
             acts += 1
             await asyncio.sleep(ACT_S)
     finally:
         keeping.cancel()
         await asyncio.gather(keeping, return_exceptions=True)
     if keeper.may_act():
-        await keeper.give_back(ANSWER_S)
+        await keeper.release(ANSWER_S)
 
 
 async def run(config: dict[str, Any]) -> None:
@@ -81,8 +81,8 @@
                 if not opened:
                     await client.open(5.0)
                     opened = True
-                keeper = Keeper(client, config["lease"], ttl_ms)
-                if await keeper.take(2 * ttl_ms, 5.0):
+                keeper = LeaseKeeper(client, config["lease"], ttl_ms)
+                if await keeper.acquire(2 * ttl_ms, 5.0):
                     await hold(keeper, task, bool(config.get("careless", False)))
             except QuorumError:
                 client.close()
--- a/fleetlab/lease_load.py
+++ b/fleetlab/lease_load.py
@@ -101,7 +101,7 @@
                 await asyncio.sleep(random.uniform(0.05, 0.2))
 
     async def _turn(self) -> None:
-        if not self._client.opened:
+        if not self._client.has_session:
             await self._client.open(ASK_S)
         asked_us, within_s = now_us(), ASK_S + self._wait_ms / 1000
         got = await self._client.acquire(self._lease, self._ttl_ms, wait_ms=self._wait_ms, within_s=within_s)
--- a/fleetlab/scale/simulated_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -18,11 +18,11 @@
 from fleetlab.sim.world import World
 from membership.core import SECOND
 from quorum import wire
-from quorum.member import Member, Out, Reply, Request, Response
-from quorum.messages import Message, Persist, Saved, Send
+from quorum.member import Member, Output, Reply, Request, Response
+from quorum.messages import Message, Persist, RecoveredState, Send
 from quorum.raft import Role, Timing
 from quorum.state_machine import Acquire, Done, Open, Renew
-from quorum.store import Written, record_of
+from quorum.store import LogRecord, encode_record
 
 MEMBERS = ("quorum0", "quorum1", "quorum2")
 LEAST_DELAY_US, MOST_DELAY_US = 100, 1_000  # of a message
@@ -43,7 +43,7 @@
         self.core = member(
             name,
             MEMBERS,
-            saved=Saved(),
+            saved=RecoveredState(),
             timing=Timing(),
             draw=quorum.world.random.randint,
             now_us=quorum.world.now_us,
@@ -66,7 +66,7 @@
             self._due_us = -1
             self.done(partial(self.core.wake, due_us))
 
-    def done(self, step: Callable[[], list[Out]]) -> None:
+    def done(self, step: Callable[[], list[Output]]) -> None:
         """One step, and what follows from it."""
         begun_s = processor_seconds()
         outs = step()
@@ -76,31 +76,31 @@
             self._quorum.carry(self._name, out, data)
         self.arm()
 
-    def _framed(self, out: Out) -> bytes:
+    def _framed(self, out: Output) -> bytes:
         """What a step sends or writes, as bytes."""
         match out:
             case Send():
-                return wire.frame(out.message)
+                return wire.encode_frame(out.message)
             case Reply():
-                return wire.frame(wire.Told(out.tag, out.response))
+                return wire.encode_frame(wire.Told(out.tag, out.response))
             case Persist():
-                return record_of(Written(out.hard, out.first, out.entries, out.snapshot))
+                return encode_record(LogRecord(out.hard, out.first, out.entries, out.snapshot))
         return b""
 
     def receive(self, sender: str, body: bytes) -> None:
         """A frame of another member."""
         self.done(partial(self._received, sender, body))
 
-    def _received(self, sender: str, body: bytes) -> list[Out]:
-        message: Message = wire.decoded(wire.message_decoder, body)
+    def _received(self, sender: str, body: bytes) -> list[Output]:
+        message: Message = wire.decode_body(wire.message_decoder, body)
         return self.core.receive(self._quorum.world.now_us, sender, message)
 
     def asked(self, body: bytes) -> None:
         """A client's frame."""
         self.done(partial(self._asked, body))
 
-    def _asked(self, body: bytes) -> list[Out]:
-        ask = wire.decoded(wire.asked_decoder, body)
+    def _asked(self, body: bytes) -> list[Output]:
+        ask = wire.decode_body(wire.client_message_decoder, body)
         assert isinstance(ask, wire.Ask)
         return self.core.request(self._quorum.world.now_us, ask.number, ask.request)
 
@@ -137,18 +137,18 @@
 
     def ask(self, number: int, request: Request) -> None:
         """A request of the holder of that number goes to the leader."""
-        data = wire.frame(wire.Ask(number, request))
+        data = wire.encode_frame(wire.Ask(number, request))
         self._count("client_in", data)
-        self._later(lambda: self.leader.asked(data[wire.SIZE.size :]))
+        self._later(lambda: self.leader.asked(data[wire.LENGTH_PREFIX.size :]))
 
-    def carry(self, name: str, out: Out, data: bytes) -> None:
+    def carry(self, name: str, out: Output, data: bytes) -> None:
         """What a member's step leads to."""
         leads = self.members[name].leads
         match out:
             case Send(to, _):
                 if leads or self.members[to].leads:
                     self._count("member_out" if leads else "member_in", data)
-                self._later(lambda: self.members[to].receive(name, data[wire.SIZE.size :]))
+                self._later(lambda: self.members[to].receive(name, data[wire.LENGTH_PREFIX.size :]))
             case Persist():
                 self.members[name].log_bytes += len(data)
                 if leads:
--- a/fleetlab/scale/subjects/lease_holders_processes.py
+++ b/fleetlab/scale/subjects/lease_holders_processes.py
@@ -14,7 +14,7 @@
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.lease_holders import SIZES, TARGET
 from quorum import wire
-from quorum.client import QuorumError, call, status
+from quorum.client import QuorumError, ask_member, member_status
 
 PORT, OPERATORS = 7000, 7010
 MEMBERS = 3
@@ -37,7 +37,7 @@
         """The member that leads; empty where none does."""
         for name, host in self.hosts.items():
             try:
-                if (await status((host, PORT))).role == "leader":
+                if (await member_status((host, PORT))).role == "leader":
                     return name
             except QuorumError:
                 continue
@@ -95,7 +95,7 @@
     used_s, followers_s = used_seconds([process]) - used_s, used_seconds(followers) - followers_s
     after = await counters(host, OPERATORS)
     resident = resident_bytes_of(process)
-    copied = await call((host, PORT), wire.Copy(1))
+    copied = await ask_member((host, PORT), wire.Copy(1))
     assert isinstance(copied, wire.Copied)
     leases, told = after["quorum_leases"], [_figures(crowd) for crowd in crowds]
     new = {name: value - before.get(name, 0) for name, value in after.items()}
--- a/fleetlab/sim/model.py
+++ b/fleetlab/sim/model.py
@@ -23,18 +23,18 @@
 from msgspec.structs import replace
 
 from fleetlab.sim.quorum import BrokenError, Parts
-from quorum.holder import Bounds, Holding
-from quorum.lease_timers import Clocks
+from quorum.holder import HeldLease, TimingBounds
+from quorum.lease_timers import LeaseTimers
 from quorum.state_machine import (
     Acquire,
     Answer,
     Command,
     Done,
     Lease,
-    Machine,
     Open,
     Release,
     Renew,
+    StateMachine,
 )
 
 LEASE = "l"
@@ -129,25 +129,25 @@
         self, before: bytes, left: int | None, after: bytes, command: Command, answer: Answer
     ) -> int | None:
         clocks, now = self._running(before, left), lease_of(after)
-        clocks.applied(0, command, answer, {LEASE: now} if now is not None else {})
+        clocks.update_after(0, command, answer, {LEASE: now} if now is not None else {})
         if now is None:
             return None
-        return left if clocks.due_us is None else clocks.left_us(0, LEASE) // 1000
+        return left if clocks.due_us is None else clocks.remaining_us(0, LEASE) // 1000
 
-    def _running(self, data: bytes, left: int | None) -> Clocks:
+    def _running(self, data: bytes, left: int | None) -> LeaseTimers:
         """The leader's clocks, at a time of 0."""
         clocks, lease = self._parts.clocks(), lease_of(data)
         if lease is not None and left is not None and left != STOPPED:
             timed = replace(lease, ttl_ms=left) if lease.session else replace(lease, delay_ms=left)
-            Clocks.begin(clocks, 0, {LEASE: timed})
+            LeaseTimers.begin(clocks, 0, {LEASE: timed})
         return clocks
 
-    def _holding(self, holder: Holder) -> Holding:
+    def _holding(self, holder: Holder) -> HeldLease:
         """The holder's lease, at a time of 0."""
-        holding = self._parts.holding(self._limits.ttl_ms * 1000, Bounds(self._limits.drift, 0))
+        holding = self._parts.holding(self._limits.ttl_ms * 1000, TimingBounds(self._limits.drift, 0))
         if holder.token:
             begun_us = (holder.left - self._limits.counted_ms) * 1000
-            Holding.granted(holding, begun_us, begun_us, holder.token)
+            HeldLease.granted(holding, begun_us, begun_us, holder.token)
         return holding
 
     def _may_act_anew(self, holder: Holder) -> bool:
@@ -162,7 +162,7 @@
         if state.log:
             yield "applied", self._apply(state)
         if state.left == 0 and len(state.log) < self._limits.log:
-            ends = tuple(self._running(state.machine, 0).over(0))
+            ends = tuple(self._running(state.machine, 0).pop_due(0))
             yield "an end is proposed", state._replace(log=state.log + ends, left=STOPPED)
         if state.leaders:
             for kept in range(len(state.log) + 1):
@@ -225,7 +225,7 @@
         if lease is not None:
             clocks = self._parts.clocks()
             clocks.begin(0, {LEASE: lease})
-            left = clocks.left_us(0, LEASE) // 1000
+            left = clocks.remaining_us(0, LEASE) // 1000
         return state._replace(
             machine=machine, left=left, log=(), owners=owners, leaders=state.leaders - 1
         )  # fmt: skip
@@ -266,11 +266,11 @@
         """An answer to the last request."""
         asking = self._parts.asking()
         for age in holder.ages:
-            asking.sent(-age * 1000)
-        sent_us, idle = asking.counts_from_us, holder._replace(ages=(), token=0, left=0)
+            asking.record_sent(-age * 1000)
+        sent_us, idle = asking.lease_start_us, holder._replace(ages=(), token=0, left=0)
         match holder.sent[-1], answer:
             case Acquire(), Done():
-                holding = self._parts.holding(self._limits.ttl_ms * 1000, Bounds(self._limits.drift, 0))
+                holding = self._parts.holding(self._limits.ttl_ms * 1000, TimingBounds(self._limits.drift, 0))
                 if not holding.granted(sent_us, 0, answer.token):
                     return idle
             case Renew(), Done():
@@ -283,7 +283,7 @@
                     return idle
             case _:
                 return idle
-        return holder._replace(ages=(), token=holding.token, left=holding.until_us // 1000)
+        return holder._replace(ages=(), token=holding.token, left=holding.end_us // 1000)
 
     def _act(self, state: State, at: int, holder: Holder) -> State:
         highest, token = state.highest, holder.act
@@ -313,7 +313,7 @@
 @cache
 def lease_of(data: bytes) -> Lease | None:
     """The lease in a state machine's state."""
-    return Machine(data).state.leases.get(LEASE)
+    return StateMachine(data).state.leases.get(LEASE)
 
 
 def explore(limits: Limits, parts: Parts | None = None, most: int = 10_000_000) -> Explored:
--- a/fleetlab/sim/quorum/adversary.py
+++ b/fleetlab/sim/quorum/adversary.py
@@ -93,7 +93,7 @@
 
     def _leader_alone(self, random: Random) -> None:
         """The leader is cut from the other members and not from clients, now and then in one direction."""
-        leaders = [node.name for node in self.nodes.values() if node.core and node.core.raft.leading]
+        leaders = [node.name for node in self.nodes.values() if node.core and node.core.raft.leader_state]
         for name in leaders:
             ways = {(name, other) for other in self.names if other != name}
             if random.random() < 0.7:
@@ -119,7 +119,7 @@
 
     def _stall(self, random: Random) -> None:
         """A member, most often the leader, stands still and goes on where it was."""
-        leaders = [node for node in self.nodes.values() if node.core and node.core.raft.leading]
+        leaders = [node for node in self.nodes.values() if node.core and node.core.raft.leader_state]
         node = random.choice(leaders or list(self.nodes.values()))
         for_us = random.randint(SECOND // 10, SECOND)
         node.stalled_until_us = self.world.now_us + for_us
@@ -165,7 +165,7 @@
             return False
         if rafts[0].leader not in {other.name for other in others}:
             return False
-        if max(raft.commit for raft in rafts) > min(raft.log.last for raft in rafts):
+        if max(raft.commit for raft in rafts) > min(raft.log.last_index for raft in rafts):
             return False
         if any(other.slow_disk_us or other.stalled_until_us > self.world.now_us for other in others):
             return False
@@ -228,4 +228,4 @@
 
 def change_members(tag: int, members: tuple[str, ...], member: Member, now_us: int) -> list[Any]:
     """A change of membership as a step of a member."""
-    return member.change(now_us, tag, members)
+    return member.change_members(now_us, tag, members)
--- a/fleetlab/sim/quorum/client.py
+++ b/fleetlab/sim/quorum/client.py
@@ -8,7 +8,7 @@
 
 from fleetlab.sim.quorum.plan import DRIFT, DRIFT_USED
 from fleetlab.sim.world import SimClock
-from quorum.holder import Asking
+from quorum.holder import RequestTiming
 from quorum.member import Elsewhere, NoRoom, Request, Response, Unknown
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     request: Request
     called_us: int
     done: Callable[[Response, int], None]
-    asking: Asking
+    asking: RequestTiming
     tries: int = 0
     over: bool = False
 
@@ -48,7 +48,7 @@
             return
         pending.tries += 1
         number = pending.tries
-        pending.asking.sent(self.clock.now_us())
+        pending.asking.record_sent(self.clock.now_us())
         names = self.sim.names
         known = self.leader if self.leader in names else self.sim.world.random.choice(names)
         self.sim.ask(self.name, known, pending.request, lambda answer: self._heard(pending, number, answer))
@@ -68,4 +68,4 @@
             self.sim.world.after(self.sim.world.random.randint(5_000, 60_000), lambda: self._try(pending))
             return
         pending.over = True
-        pending.done(answer, pending.asking.counts_from_us)
+        pending.done(answer, pending.asking.lease_start_us)
--- a/fleetlab/sim/quorum/holder.py
+++ b/fleetlab/sim/quorum/holder.py
@@ -10,7 +10,7 @@
 from fleetlab.sim.quorum.client import Client
 from fleetlab.sim.quorum.judge import BrokenError
 from fleetlab.sim.quorum.plan import DELAY_MS, DRIFT, KEYS, LEASES, SECOND, TTL_MS
-from quorum.holder import Bounds, Holding
+from quorum.holder import HeldLease, TimingBounds
 from quorum.member import Read, Request, Response, Told, Wait
 from quorum.state_machine import Acquire, Done, Open, Put, Release, Renew
 
@@ -26,7 +26,7 @@
         self.session = 0
         self.seq = 0
         self.lease = sim.world.random.choice(LEASES)
-        self.holding: Holding | None = None
+        self.holding: HeldLease | None = None
         self.paused_until_us = 0
 
     def start(self) -> None:
@@ -77,7 +77,7 @@
         def answered(answer: Response, sent_us: int) -> None:
             if isinstance(answer, Done):
                 self.sim.judge.granted(answer.token, self.session, seq)
-                holding = self.sim.parts.holding(TTL_MS * 1000, Bounds(DRIFT))
+                holding = self.sim.parts.holding(TTL_MS * 1000, TimingBounds(DRIFT))
                 if holding.granted(sent_us, self.clock.now_us(), answer.token):
                     self.holding = holding
                     self.sim.took(self)
@@ -86,7 +86,7 @@
         # While it stands still its answer waits unread: it must not count from when it reads it.
         self.ask(request, lambda answer, sent_us: self._unpaused(lambda: answered(answer, sent_us)))
 
-    def _hold(self, holding: Holding) -> None:
+    def _hold(self, holding: HeldLease) -> None:
         """Act, renew, give back, or find that it is over."""
         random, now_us = self.sim.world.random, self.clock.now_us()
         if not holding.may_act(now_us):
@@ -103,7 +103,7 @@
             self.sim.world.after(delay_us, lambda: self.sim.act(self.name, lease, token))
             self.later(self.go_on, 120_000)
 
-    def _renew(self, holding: Holding) -> None:
+    def _renew(self, holding: HeldLease) -> None:
         def answered(answer: Response, sent_us: int) -> None:
             now_us = self.clock.now_us()
             before = holding.may_act(now_us)
@@ -119,7 +119,7 @@
         renew = Renew(self.session, self._next(), self.lease, holding.token)
         self.ask(renew, lambda answer, sent_us: self._unpaused(lambda: answered(answer, sent_us)))
 
-    def _release(self, holding: Holding) -> None:
+    def _release(self, holding: HeldLease) -> None:
         holding.lost()
         self.holding = None
         release = Release(self.session, self._next(), self.lease, holding.token)
--- a/fleetlab/sim/quorum/judge.py
+++ b/fleetlab/sim/quorum/judge.py
@@ -11,7 +11,7 @@
 from quorum.member import Member, NoRoom, Read, Request, Wait, Watch
 from quorum.messages import Committed
 from quorum.raft import Raft, Role
-from quorum.state_machine import Done, Put, Refused, grows
+from quorum.state_machine import Done, Put, Refused, may_grow_state
 from standins import records
 
 if TYPE_CHECKING:
@@ -87,7 +87,7 @@
         for index, committed in self.entries.items():
             if self.terms[index] >= term or index <= log.snapshot.index:
                 continue
-            entry = log.at(index) if index <= log.last else None
+            entry = log.entry_at(index) if index <= log.last_index else None
             if entry is None or (entry.term, entry.kind, entry.data) != committed:
                 raise BrokenError("completeness", f"{name} leads term {term} without entry {index}")
 
@@ -96,10 +96,10 @@
         logs = [(node.name, node.core.raft.log) for node in nodes if node.core is not None]
         for at, (name, log) in enumerate(logs):
             for other_name, other in logs[at + 1 :]:
-                low = max(log.first, other.first)
+                low = max(log.first_index, other.first_index)
                 agree = False
-                for index in range(min(log.last, other.last), low - 1, -1):
-                    one, two = log.at(index), other.at(index)
+                for index in range(min(log.last_index, other.last_index), low - 1, -1):
+                    one, two = log.entry_at(index), other.entry_at(index)
                     agree = agree or one.term == two.term
                     if agree and (one.term, one.kind, one.data) != (two.term, two.kind, two.data):
                         raise BrokenError("matching", f"{name} and {other_name} differ at {index}")
@@ -115,7 +115,7 @@
 
     def check_room(self, member: Member, request: Request) -> None:
         """With all disks full, nothing is taken on that makes the state larger."""
-        if not isinstance(request, Read | Watch | Wait) and grows(request):
+        if not isinstance(request, Read | Watch | Wait) and may_grow_state(request):
             raise BrokenError("room", f"{member.raft.name} takes on {type(request).__name__} on full disks")
 
     def check_history(self, history: list[records.AnyRecord]) -> None:
--- a/fleetlab/sim/quorum/node.py
+++ b/fleetlab/sim/quorum/node.py
@@ -9,11 +9,11 @@
 from fleetlab.sim.quorum.judge import BrokenError
 from fleetlab.sim.quorum.plan import DRIFT, DRIFT_USED, NARROW, TIMING
 from fleetlab.sim.world import SimDisk
-from quorum.incarnations import Claim, Life
-from quorum.member import Member, Reply, Shunned
+from quorum.incarnations import Incarnation, StartupClaim
+from quorum.member import FoldersShunned, Member, Reply
 from quorum.messages import Persist, Send
 from quorum.raft import Role
-from quorum.store import Folded
+from quorum.store import LogReplay
 
 if TYPE_CHECKING:
     from fleetlab.sim.quorum.simulation import QuorumSim
@@ -41,8 +41,8 @@
         self.written += 1
         # What others promised was not on its disk; whom it heard last was.
         self.lives = self.sim.parts.lives(self.name, self.lives.known, self.lives.shunned)
-        self.known_as = Life(self.name, self.written, str(self.generation))
-        folded = Folded()
+        self.known_as = Incarnation(self.name, self.written, str(self.generation))
+        folded = LogReplay()
         for item in self.disk.durable:
             folded.add(item)
         member = self.sim.parts.member(
@@ -51,9 +51,9 @@
             now_us=self.clock.now_us(), raft=self.sim.parts.raft, state=self.sim.parts.machine,
             clocks=self.sim.parts.clocks, watch=partial(self.sim.applied, self.name),
         )  # fmt: skip
-        self.claim = Claim(member.raft.term, member.raft.vote, member.raft.log.last)
+        self.claim = StartupClaim(member.raft.term, member.raft.vote, member.raft.log.last_index)
         if self.full:
-            member.disk(self.clock.now_us(), True)
+            member.set_disk_full(self.clock.now_us(), True)
         if member.raft.term < self.term and not self.sim.adversary.restores_copy:
             raise BrokenError("term", f"{self.name} came back with an older term")
         return member
@@ -61,7 +61,7 @@
     def fill(self, full: bool) -> None:
         """Its disk is full, or has room again."""
         self.full = full
-        self.do(lambda member, now_us: member.disk(now_us, full))
+        self.do(lambda member, now_us: member.set_disk_full(now_us, full))
 
     def crash(self, machine: bool) -> None:
         """The process ends; with its machine, what was not synced may be gone."""
@@ -87,7 +87,7 @@
                     self._write(item)
                 case Reply():
                     self.sim.answered(self.name, item)
-                case Shunned():
+                case FoldersShunned():
                     for folder in item.folders:
                         self.lives.shun(folder)
         self.sim.judge.check_members(self.sim.nodes.values())
--- a/fleetlab/sim/quorum/plan.py
+++ b/fleetlab/sim/quorum/plan.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 from random import Random
 
-from quorum.holder import Asking, Fence, Holding
-from quorum.incarnations import Lives
-from quorum.lease_timers import Clocks
+from quorum.holder import Fence, HeldLease, RequestTiming
+from quorum.incarnations import IncarnationRegistry
+from quorum.lease_timers import LeaseTimers
 from quorum.member import Member
 from quorum.raft import Raft, Timing
-from quorum.state_machine import Machine
+from quorum.state_machine import StateMachine
 
 SECOND = 1_000_000
-TIMING = Timing(least_election_us=150_000, most_election_us=300_000, heartbeat_us=40_000)
-NARROW = Timing(least_election_us=150_000, most_election_us=165_000, heartbeat_us=40_000)
+TIMING = Timing(min_election_us=150_000, max_election_us=300_000, heartbeat_us=40_000)
+NARROW = Timing(min_election_us=150_000, max_election_us=165_000, heartbeat_us=40_000)
 LEASES = ("sweep", "share")
 KEYS = ("a", "b")
 TTL_MS = 900
@@ -28,13 +28,13 @@
     """The classes under test; a planted bug is another class in the place of one."""
 
     raft: type[Raft] = Raft
-    machine: type[Machine] = Machine
+    machine: type[StateMachine] = StateMachine
     member: type[Member] = Member
-    holding: type[Holding] = Holding
+    holding: type[HeldLease] = HeldLease
     fence: type[Fence] = Fence
-    asking: type[Asking] = Asking
-    clocks: type[Clocks] = Clocks
-    lives: type[Lives] = Lives
+    asking: type[RequestTiming] = RequestTiming
+    clocks: type[LeaseTimers] = LeaseTimers
+    lives: type[IncarnationRegistry] = IncarnationRegistry
 
 
 @dataclass(frozen=True, slots=True)
--- a/fleetlab/sim/quorum/simulation.py
+++ b/fleetlab/sim/quorum/simulation.py
@@ -14,11 +14,11 @@
 from fleetlab.sim.quorum.plan import KEYS, LEASES, SECOND, Parts, Plan
 from fleetlab.sim.world import Network, World
 from quorum.holder import Fence
-from quorum.incarnations import Claim, Life
+from quorum.incarnations import Incarnation, StartupClaim
 from quorum.member import Member, Reply, Request, Response
 from quorum.messages import Committed, Message
 from quorum.raft import Role
-from quorum.state_machine import Done, Machine, Open, Put
+from quorum.state_machine import Done, Open, Put, StateMachine
 
 SETTLED_S = 5  # after all faults, until work has gone on
 
@@ -31,7 +31,7 @@
         self.world = World(seed)
         self.judge = Judge()
         self.names = tuple(f"m{number}" for number in range(plan.members))
-        self.network: Network[tuple[Life, Claim, Message]] = Network(self.world, self._deliver)
+        self.network: Network[tuple[Incarnation, StartupClaim, Message]] = Network(self.world, self._deliver)
         self.nodes = {name: Node(self, name) for name in self.names}
         self.holders = [Holder(self, f"h{number}") for number in range(plan.holders)]
         self.fences: dict[str, Fence] = {lease: self.parts.fence() for lease in LEASES}
@@ -41,7 +41,7 @@
         self._awaited: dict[tuple[str, int], Callable[[Response], None]] = {}  # by member and tag
         self._tag = 0
 
-    def applied(self, name: str, action: Committed, machine: Machine) -> None:
+    def applied(self, name: str, action: Committed, machine: StateMachine) -> None:
         """A member has applied an entry."""
         member = self.nodes[name].core
         assert member is not None
@@ -50,30 +50,32 @@
 
     # Between members and clients
 
-    def _deliver(self, sender: str, to: str, item: tuple[Life, Claim, Message]) -> None:
+    def _deliver(self, sender: str, to: str, item: tuple[Incarnation, StartupClaim, Message]) -> None:
         node, (life, claim, message) = self.nodes[to], item
         if node.core is None:
             return
-        if node.lives.refusal(sender, life, claim):
+        if node.lives.rejection_reason(sender, life, claim):
             self.counts["not listened to"] += 1
             if life.folder in node.lives.shunned:
                 node.do(lambda member, now_us: member.shun(now_us, life.folder))
             return
-        node.lives.heard(sender, life)
-        node.lives.note(sender, message)
+        node.lives.accept(sender, life)
+        node.lives.record_message(sender, message)
         node.do(lambda member, now_us: member.receive(now_us, sender, message))
 
     def _requested(self, member: Member, now_us: int, tag: int, request: Request) -> list[Any]:
-        last = member.raft.log.last
+        last = member.raft.log.last_index
         out = member.request(now_us, tag, request)
-        if member.raft.log.last > last:
+        if member.raft.log.last_index > last:
             self._note_full_disks(member, request)
         return out
 
     def _note_full_disks(self, member: Member, request: Request) -> None:
         """What no member has room for has to be turned down at once."""
-        followers = member.raft.leading.followers.values() if member.raft.leading is not None else []
-        if followers and member.raft.full and all(follower.full for follower in followers):
+        followers = (
+            member.raft.leader_state.followers.values() if member.raft.leader_state is not None else []
+        )
+        if followers and member.raft.disk_full and all(follower.disk_full for follower in followers):
             self.counts["without room"] += 1
             self.judge.check_room(member, request)
 
--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -14,12 +14,12 @@
 import typer
 
 from quorum import wire
-from quorum.client import QuorumError, call, leader_of, order, status
-from quorum.commands import ended_by_signal, play
+from quorum.client import QuorumError, ask_member, leader_of, member_status, order
+from quorum.commands import run_command_line, stop_event
 from quorum.config import load
 from quorum.messages import Snapshot
 from quorum.server import Server
-from quorum.service_logging import log_lines
+from quorum.service_logging import configure_logging
 from quorum.state_machine import restored
 from quorum.store import StoreError, replace_file, restore
 from tomlconfig import Address, ConfigError, address_of
@@ -31,7 +31,7 @@
 
 async def serve(path: Path) -> None:
     """Run a member until SIGTERM or SIGINT; SIGHUP reads the members' addresses again."""
-    over = ended_by_signal()
+    over = stop_event()
     server = Server(load(path))
 
     def reload() -> None:
@@ -54,7 +54,7 @@
 @app.command()
 def run(config: Annotated[Path, typer.Argument(help="The member's TOML file.")]) -> None:
     """A member of a quorum that keeps leases."""
-    log_lines()
+    configure_logging()
     asyncio.run(serve(config))
 
 
@@ -77,7 +77,7 @@
     leads = False
     for name, address in sorted(members.items()):
         try:
-            health = await status(address)
+            health = await member_status(address)
         except QuorumError as error:
             print(
                 msgspec.json.encode({"name": name, "error": str(error)}).decode()
@@ -101,7 +101,7 @@
     """All leases as the leader knows them: holder, token, time left, who waits."""
 
     async def ask() -> wire.Answer:
-        return await call(await leader_of(addresses(config)), wire.Leases(1))
+        return await ask_member(await leader_of(addresses(config)), wire.Leases(1))
 
     listed = asyncio.run(ask())
     assert isinstance(listed, wire.Listed)
@@ -137,7 +137,7 @@
     """Keep a copy of what the leader has applied."""
 
     async def ask() -> wire.Answer:
-        return await call(await leader_of(addresses(config)), wire.Copy(1), 10.0)
+        return await ask_member(await leader_of(addresses(config)), wire.Copy(1), 10.0)
 
     copied = asyncio.run(ask())
     assert isinstance(copied, wire.Copied)
@@ -165,7 +165,7 @@
 
 def main() -> int:
     """Run; 2 and one line where something cannot be used, 1 where a quorum does not do what was asked."""
-    return play(app, "quorum", (ConfigError, StoreError, OSError))
+    return run_command_line(app, "quorum", (ConfigError, StoreError, OSError))
 
 
 if __name__ == "__main__":
--- a/quorum/client.py
+++ b/quorum/client.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from quorum import wire
-from quorum.holder import Asking, Bounds, Holding
+from quorum.holder import HeldLease, RequestTiming, TimingBounds
 from quorum.member import Elsewhere, NoRoom, Read, Request, Response, Told, Unknown, Wait, Watch
 from quorum.monotonic_clock import now_us
 from quorum.state_machine import (
@@ -28,7 +28,7 @@
     Release,
     Renew,
 )
-from quorum.wire import MOST_FRAME, VERSION, Hello, WireError, frame
+from quorum.wire import MOST_FRAME, VERSION, Hello, WireError, encode_frame
 from tomlconfig import Address
 
 TRY_S, MOST_TRY_S = 0.5, 4.0  # s for a first try, beside what the request itself may wait, and for later ones
@@ -72,18 +72,18 @@
             raise QuorumError(f"no certain answer within {within_s:g} s") from None
 
     async def _ask(self, request: Request, within_s: float) -> Got:
-        asking, pause_s, try_s, repeated = Asking(), PAUSES_S[0], TRY_S, False
+        asking, pause_s, try_s, repeated = RequestTiming(), PAUSES_S[0], TRY_S, False
         until_us = now_us() + int(within_s * 1e6)
         waits_s = request.wait_ms / 1000 if isinstance(request, Wait | Watch) else 0.0
         while now_us() < until_us:
-            asking.sent(now_us())
+            asking.record_sent(now_us())
             response = await self._try(request, try_s + waits_s)
             certain = response is not None and not isinstance(response, Elsewhere | Unknown)
             if response is not None and certain and not (repeated and isinstance(response, NoRoom)):
                 if response == Refused(NO_SESSION):
                     self._session = 0
                     raise SessionError(NO_SESSION)
-                return Got(response, asking.counts_from_us)
+                return Got(response, asking.lease_start_us)
             repeated |= not isinstance(response, Elsewhere)
             if response is None:
                 try_s = min(2 * try_s, MOST_TRY_S)  # it may be slow, and asking again makes it slower
@@ -104,10 +104,10 @@
         try:
             reader, writer = await self._reach(name)
             self._number += 1
-            writer.write(frame(wire.Ask(self._number, request)))
+            writer.write(encode_frame(wire.Ask(self._number, request)))
             async with asyncio.timeout(try_s):
                 while body := await wire.read_frame(reader, MOST_FRAME):
-                    told = wire.decoded(wire.answer_decoder, body)
+                    told = wire.decode_body(wire.answer_decoder, body)
                     if told.number == self._number and isinstance(told, wire.Told):
                         if not isinstance(told.response, Elsewhere):
                             self._leader = name
@@ -126,7 +126,7 @@
         self.close()
         async with asyncio.timeout(CONNECT_S):
             reader, writer = await asyncio.open_connection(*self._members[name])
-        writer.write(frame(Hello(VERSION)))
+        writer.write(encode_frame(Hello(VERSION)))
         self._connection = (name, reader, writer)
         return reader, writer
 
@@ -137,7 +137,7 @@
             self._connection = None
 
     @property
-    def opened(self) -> bool:
+    def has_session(self) -> bool:
         """Whether there is a session, as far as is known here."""
         return bool(self._session)
 
@@ -148,7 +148,7 @@
             raise QuorumError(f"no session: {got.response}")
         self._session, self._seq = got.response.session, 0
 
-    async def end(self, within_s: float) -> None:
+    async def end_session(self, within_s: float) -> None:
         """End the session in order: whatever it holds is free at once."""
         if self._session:
             await self.ask(Close(self._session, self._next()), within_s)
@@ -203,68 +203,68 @@
         return got.response
 
 
-class Keeper:
+class LeaseKeeper:
     """Holds one lease for a task: renews it in time, and knows at each moment whether the task may act."""
 
-    def __init__(self, client: Client, lease: str, ttl_ms: int, bounds: Bounds | None = None) -> None:
+    def __init__(self, client: Client, lease: str, ttl_ms: int, bounds: TimingBounds | None = None) -> None:
         self._client, self._lease, self._ttl_ms = client, lease, ttl_ms
-        self._bounds = bounds or Bounds()
-        self.holding = Holding(ttl_ms * 1000, self._bounds)
+        self._bounds = bounds or TimingBounds()
+        self.held_lease = HeldLease(ttl_ms * 1000, self._bounds)
 
-    async def take(self, wait_ms: int, within_s: float, delay_ms: int = 0) -> bool:
+    async def acquire(self, wait_ms: int, within_s: float, delay_ms: int = 0) -> bool:
         """Take the lease; False where another holds it, or where what came has no time left."""
         got = await self._client.acquire(
             self._lease, self._ttl_ms, delay_ms=delay_ms, wait_ms=wait_ms, within_s=within_s
         )
         if not isinstance(got.response, Done):
             return False
-        self.holding, token = Holding(self._ttl_ms * 1000, self._bounds), got.response.token
-        if self.holding.granted(got.counts_from_us, now_us(), token):
+        self.held_lease, token = HeldLease(self._ttl_ms * 1000, self._bounds), got.response.token
+        if self.held_lease.granted(got.counts_from_us, now_us(), token):
             return True
         # It waited for its turn, and cannot know for how long: a renewal tells how much is left.
         got = await self._client.renew(self._lease, token, self._ttl_ms / 1000)
-        return isinstance(got.response, Done) and self.holding.granted(got.counts_from_us, now_us(), token)
+        return isinstance(got.response, Done) and self.held_lease.granted(got.counts_from_us, now_us(), token)
 
-    async def keep(self) -> None:
+    async def keep_renewed(self) -> None:
         """Renew until the lease is over; returns when the task must have stopped."""
-        while self.holding.may_act(now_us()):
-            pause_us = self.holding.renew_us - now_us()
+        while self.held_lease.may_act(now_us()):
+            pause_us = self.held_lease.renew_us - now_us()
             if pause_us > 0:
                 await asyncio.sleep(pause_us / 1e6)
-            left_s = (self.holding.until_us - now_us()) / 1e6
+            left_s = (self.held_lease.end_us - now_us()) / 1e6
             if left_s <= 0:
                 continue
             try:
-                got = await self._client.renew(self._lease, self.holding.token, left_s)
+                got = await self._client.renew(self._lease, self.held_lease.token, left_s)
             except QuorumError:
                 continue
             if isinstance(got.response, Done):
-                self.holding.renewed(got.counts_from_us, now_us(), got.response.token)
+                self.held_lease.renewed(got.counts_from_us, now_us(), got.response.token)
             else:
-                self.holding.lost()
+                self.held_lease.lost()
 
-    async def give_back(self, within_s: float) -> None:
+    async def release(self, within_s: float) -> None:
         """An orderly end: the task has stopped, the next may have the lease at once."""
-        token = self.holding.token
-        self.holding.lost()
+        token = self.held_lease.token
+        self.held_lease.lost()
         await self._client.release(self._lease, token, within_s)
 
     def may_act(self) -> bool:
         """Whether an act that is begun now is covered."""
-        return self.holding.may_act(now_us())
+        return self.held_lease.may_act(now_us())
 
 
-async def call(address: Address, asked: wire.Asked, within_s: float = 2.0) -> wire.Answer:
+async def ask_member(address: Address, asked: wire.Asked, within_s: float = 2.0) -> wire.Answer:
     """Ask one member one thing as an operator; ``QuorumError`` where it does not answer."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                writer.write(frame(Hello(VERSION)) + frame(asked))
+                writer.write(encode_frame(Hello(VERSION)) + encode_frame(asked))
                 body = await wire.read_frame(reader, MOST_FRAME)
                 if not body:
                     raise WireError("it ended the connection")
-                return wire.decoded(wire.answer_decoder, body)
+                return wire.decode_body(wire.answer_decoder, body)
             finally:
                 writer.close()
     except (OSError, TimeoutError, WireError) as error:
@@ -272,9 +272,9 @@
         raise QuorumError(f"{address[0]}:{address[1]} does not answer: {why}") from None
 
 
-async def status(address: Address, within_s: float = 2.0) -> wire.Health:
+async def member_status(address: Address, within_s: float = 2.0) -> wire.Health:
     """Ask one member for itself; ``QuorumError`` where it does not answer."""
-    answer = await call(address, wire.Status(1), within_s)
+    answer = await ask_member(address, wire.Status(1), within_s)
     if not isinstance(answer, wire.Health):
         raise QuorumError(f"{address[0]}:{address[1]} answers something else")
     return answer
@@ -285,7 +285,7 @@
     found = [(0, "")]
     for address in members.values():
         try:
-            health = await status(address)
+            health = await member_status(address)
         except QuorumError:
             continue
         found.append((health.term, health.leader))
@@ -297,7 +297,7 @@
 
 async def order(members: Mapping[str, Address], asked: wire.Asked, within_s: float = 5.0) -> None:
     """Have the leader do something; ``QuorumError`` with its reason where it does not."""
-    answer = await call(await leader_of(members), asked, within_s)
+    answer = await ask_member(await leader_of(members), asked, within_s)
     response = answer.response if isinstance(answer, wire.Told) else answer
     match response:
         case Done():
--- a/quorum/commands.py
+++ b/quorum/commands.py
@@ -11,7 +11,7 @@
 from quorum.client import QuorumError
 
 
-def play(app: typer.Typer, program: str, wrong: tuple[type[Exception], ...]) -> int:
+def run_command_line(app: typer.Typer, program: str, wrong: tuple[type[Exception], ...]) -> int:
     """Run the command line, where a first word that is no command stands for ``run``; the exit code.
 
     1 and one line where a quorum does not do what was asked, 2 and one line for wrong use and for errors of
@@ -37,7 +37,7 @@
     return 2
 
 
-def ended_by_signal() -> asyncio.Event:
+def stop_event() -> asyncio.Event:
     """Set once SIGTERM or SIGINT comes; for the loop that runs."""
     over = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/quorum/holder.py
+++ b/quorum/holder.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class TimingBounds:
     """What a holder relies on."""
 
     drift: float = 0.01  # by which a second here may be longer or shorter than one at a leader
     notice_us: int = 50_000  # that a task is told before it must have stopped
 
 
-class Asking:
+class RequestTiming:
     """One request with all its repeats, as a session sends them under one number.
 
     A lease counts from the first of them: whichever was done, its answer may be the one that was lost, and a
@@ -30,22 +30,22 @@
     def __init__(self) -> None:
         self._first_us: int | None = None
 
-    def sent(self, now_us: int) -> None:
+    def record_sent(self, now_us: int) -> None:
         """It is sent, once more or for the first time."""
         if self._first_us is None:
             self._first_us = now_us
 
     @property
-    def counts_from_us(self) -> int:
+    def lease_start_us(self) -> int:
         """From when on what it brings may be counted."""
         assert self._first_us is not None
         return self._first_us
 
 
-class Holding:
+class HeldLease:
     """One lease as its holder sees it."""
 
-    def __init__(self, ttl_us: int, bounds: Bounds) -> None:
+    def __init__(self, ttl_us: int, bounds: TimingBounds) -> None:
         self._ttl_us, self._bounds = ttl_us, bounds
         self.token = 0
         self._until_us = 0
@@ -78,7 +78,7 @@
         self._over = True
 
     @property
-    def until_us(self) -> int:
+    def end_us(self) -> int:
         """When nothing may be done any more."""
         return self._until_us
 
--- a/quorum/incarnations.py
+++ b/quorum/incarnations.py
@@ -20,7 +20,7 @@
 MOST_SHUNNED = 64  # folders
 
 
-class Life(msgspec.Struct, frozen=True, array_like=True):
+class Incarnation(msgspec.Struct, frozen=True, array_like=True):
     """One life of a member."""
 
     folder: str  # drawn when the folder was made
@@ -28,7 +28,7 @@
     run: str  # drawn by the process
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True):
+class StartupClaim(msgspec.Struct, frozen=True, array_like=True):
     """What a process found in its folder when it began."""
 
     term: int = 0
@@ -56,7 +56,7 @@
                 self.acked_term, self.acked = message.term, 0
             self.acked = max(self.acked, message.match)
 
-    def forgotten(self, claim: Claim, own: str) -> bool:
+    def forgotten(self, claim: StartupClaim, own: str) -> bool:
         """Whether a folder that holds so much has forgotten a promise."""
         if claim.term < self.term:
             return True
@@ -65,16 +65,16 @@
         return claim.term == self.acked_term and claim.last < self.acked
 
 
-class Lives:
+class IncarnationRegistry:
     """What one member has heard of the others."""
 
-    def __init__(self, own: str, known: dict[str, Life], shunned: Iterable[str] = ()) -> None:
+    def __init__(self, own: str, known: dict[str, Incarnation], shunned: Iterable[str] = ()) -> None:
         self._own, self._known = own, dict(known)
         self._shunned = dict.fromkeys(shunned)  # folders, the latest last
         self._promised: dict[str, Promised] = {}
 
     @property
-    def known(self) -> dict[str, Life]:
+    def known(self) -> dict[str, Incarnation]:
         """The latest life of each, which has to be durable before it is listened to."""
         return dict(self._known)
 
@@ -92,11 +92,11 @@
             del self._shunned[next(iter(self._shunned))]
         return True
 
-    def note(self, name: str, message: Message) -> None:
+    def record_message(self, name: str, message: Message) -> None:
         """A message of a life that is listened to."""
         self._promised.setdefault(name, Promised()).note(message)
 
-    def refusal(self, name: str, life: Life, claim: Claim) -> str:
+    def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
         """Why a member that says to be so is not listened to; empty where it is."""
         known, again = self._known.get(name), "take it out and add it again"
         if known is not None and life.folder == known.folder:
@@ -112,13 +112,13 @@
             return f"{name} was known by another folder: {again}"
         return ""
 
-    def heard(self, name: str, life: Life) -> bool:
+    def accept(self, name: str, life: Incarnation) -> bool:
         """Note a life that is listened to; whether that is news, and so has to be made durable."""
         news = self._known.get(name) != life
         self._known[name] = life
         return news
 
-    def unheard(self, name: str, durable: dict[str, Life]) -> None:
+    def unheard(self, name: str, durable: dict[str, Incarnation]) -> None:
         """What was heard of a member could not be made durable: the last that was counts."""
         if name in durable:
             self._known[name] = durable[name]
--- a/quorum/lease_timers.py
+++ b/quorum/lease_timers.py
@@ -33,7 +33,7 @@
     end: Expire | Free
 
 
-class Clocks:
+class LeaseTimers:
     """All of them, by lease; the next that is due is found without a look at the others."""
 
     def __init__(self) -> None:
@@ -50,7 +50,9 @@
         self._running.clear()
         self._due.clear()
 
-    def applied(self, now_us: int, command: Command, answer: Answer, leases: Mapping[str, Lease]) -> None:
+    def update_after(
+        self, now_us: int, command: Command, answer: Answer, leases: Mapping[str, Lease]
+    ) -> None:
         """Start, set anew or stop clocks after a command."""
         counts = isinstance(answer, Done) and isinstance(command, Acquire | Renew | Expire | Free)
         for name in touched(command, self._running):
@@ -83,7 +85,7 @@
             heapq.heappop(self._due)
         return self._due[0][0] if self._due else None
 
-    def over(self, now_us: int) -> list[Expire | Free]:
+    def pop_due(self, now_us: int) -> list[Expire | Free]:
         """The ends that are to be proposed now; each again if it does not come to the log for long."""
         found = list[Expire | Free]()
         while (due_us := self.due_us) is not None and due_us <= now_us:
@@ -93,7 +95,7 @@
             self._set(name, Clock(now_us + RETRY_US, clock.end))
         return found
 
-    def left_us(self, now_us: int, name: str) -> int:
+    def remaining_us(self, now_us: int, name: str) -> int:
         """What a lease or a delay has left; 0 where no clock runs."""
         clock = self._running.get(name)
         return max(0, clock.due_us - now_us) if clock is not None else 0
--- a/quorum/log.py
+++ b/quorum/log.py
@@ -17,12 +17,12 @@
         self._entries = list(entries)
 
     @property
-    def first(self) -> int:
+    def first_index(self) -> int:
         """The index of the first entry that is kept."""
         return self.snapshot.index + 1
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The index of the last entry, also where only the snapshot holds it."""
         return self.snapshot.index + len(self._entries)
 
@@ -38,18 +38,18 @@
         """The term of an entry; None where it is not known here."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        if self.first <= index <= self.last:
-            return self._entries[index - self.first].term
+        if self.first_index <= index <= self.last_index:
+            return self._entries[index - self.first_index].term
         return None
 
-    def at(self, index: int) -> Entry:
+    def entry_at(self, index: int) -> Entry:
         """The entry of that index, which is kept."""
-        return self._entries[index - self.first]
+        return self._entries[index - self.first_index]
 
     def since(self, index: int) -> tuple[Entry, ...]:
         """Entries from an index on, as many as one message takes, at least one."""
         found, size = list[Entry](), 0
-        for entry in self._entries[index - self.first :]:
+        for entry in self._entries[index - self.first_index :]:
             size += len(entry.data) + 16
             if found and size > MOST_BATCH_BYTES:
                 break
@@ -58,7 +58,7 @@
 
     def replace(self, first: int, entries: Iterable[Entry]) -> None:
         """Entries from ``first`` on; what stood at or behind it goes."""
-        self._entries[first - self.first :] = entries
+        self._entries[first - self.first_index :] = entries
 
     def compact(self, snapshot: Snapshot) -> None:
         """Drop what a snapshot holds; where it goes past the log or disagrees with it, drop all."""
--- a/quorum/member.py
+++ b/quorum/member.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from quorum import state_machine
-from quorum.lease_timers import Clocks, touched
+from quorum.lease_timers import LeaseTimers, touched
 from quorum.messages import (
     COMMAND,
     MEMBERS,
@@ -18,12 +18,12 @@
     Message,
     Persist,
     Readable,
+    RecoveredState,
     Restored,
-    Saved,
     Send,
 )
 from quorum.raft import Draw, Raft, Role, Timing
-from quorum.state_machine import Acquire, Answer, Command, Done, Held, Machine, Put, Refused, Shun
+from quorum.state_machine import Acquire, Answer, Command, Done, Held, Put, Refused, Shun, StateMachine
 from quorum.wait_queue import Waiting
 
 COMPACT_AT = 4096  # entries in the log before it is compacted
@@ -103,16 +103,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shunned:
+class FoldersShunned:
     """These folders are not to be heard, as all agree."""
 
     folders: tuple[str, ...]
 
 
-Out = Send | Persist | Reply | Together | Shunned
+Output = Send | Persist | Reply | Together | FoldersShunned
 
 
-def unwatched(_action: Committed, _machine: Machine) -> None:
+def unwatched(_action: Committed, _machine: StateMachine) -> None:
     """Nobody wants to know."""
 
 
@@ -151,14 +151,14 @@
         name: str,
         members: tuple[str, ...],
         *,
-        saved: Saved,
+        saved: RecoveredState,
         timing: Timing,
         draw: Draw,
         now_us: int,
         raft: type[Raft] = Raft,
-        state: type[Machine] = Machine,
-        clocks: type[Clocks] = Clocks,
-        watch: Callable[[Committed, Machine], None] = unwatched,
+        state: type[StateMachine] = StateMachine,
+        clocks: type[LeaseTimers] = LeaseTimers,
+        watch: Callable[[Committed, StateMachine], None] = unwatched,
     ) -> None:
         """Go on from what the disk gave back; ``watch`` is told of each entry once it is applied."""
         self._watch = watch
@@ -175,7 +175,7 @@
         self._proposals: list[tuple[int, bytes]] = []  # of this step, by tag
         self._reads: list[int] = []  # of this step
         self._granting: set[str] = set()  # leases for which a waiter's turn is being decided
-        self._out: list[Out] = []
+        self._out: list[Output] = []
 
     # Steps
 
@@ -185,32 +185,32 @@
         times = (self.raft.due_us, self._clocks.due_us, self.waiting.due_us, self.watching.due_us)
         return min(time for time in times if time is not None)
 
-    def wake(self, now_us: int) -> list[Out]:
+    def wake(self, now_us: int) -> list[Output]:
         """Time has passed."""
         self._now_us = now_us
         self._carry(self.raft.wake(now_us))
-        if ends := self._clocks.over(now_us):
+        if ends := self._clocks.pop_due(now_us):
             self._propose_own(ends)
         self._give_up()
         return self._taken()
 
-    def receive(self, now_us: int, sender: str, message: Message) -> list[Out]:
+    def receive(self, now_us: int, sender: str, message: Message) -> list[Output]:
         """A message of another member."""
         self._now_us = now_us
         self._carry(self.raft.receive(now_us, sender, message))
         return self._taken()
 
-    def synced(self, now_us: int, number: int) -> list[Out]:
+    def synced(self, now_us: int, number: int) -> list[Output]:
         """The disk is done with all writes up to that number."""
         self._now_us = now_us
         self._carry(self.raft.synced(now_us, number))
         return self._taken()
 
-    def request(self, now_us: int, tag: int, request: Request) -> list[Out]:
+    def request(self, now_us: int, tag: int, request: Request) -> list[Output]:
         """A client's request; it is answered once, now or later."""
         return self.request_all(now_us, [(tag, request)])
 
-    def request_all(self, now_us: int, some: list[tuple[int, Request]]) -> list[Out]:
+    def request_all(self, now_us: int, some: list[tuple[int, Request]]) -> list[Output]:
         """Requests that came together: one write, and one message to each other member, for all of them."""
         self._now_us = now_us
         for tag, request in some:
@@ -235,32 +235,32 @@
             self.watching.drop(tag)
             self._asked.pop(tag, None)
 
-    def change(self, now_us: int, tag: int, members: tuple[str, ...]) -> list[Out]:
+    def change_members(self, now_us: int, tag: int, members: tuple[str, ...]) -> list[Output]:
         """An operator adds or removes one member."""
         self._now_us = now_us
         self._carry(self.raft.change(now_us, tag, members))
         return self._taken()
 
-    def step_down(self, now_us: int) -> list[Out]:
+    def step_down(self, now_us: int) -> list[Output]:
         """An operator wants another leader."""
         self._now_us = now_us
         self._carry(self.raft.step_down(now_us))
         return self._taken()
 
-    def disk(self, now_us: int, full: bool) -> list[Out]:
+    def set_disk_full(self, now_us: int, full: bool) -> list[Output]:
         """The disk takes nothing that can wait, or does again."""
         self._now_us = now_us
         self._carry(self.raft.disk(now_us, full))
         return self._taken()
 
-    def shun(self, now_us: int, folder: str) -> list[Out]:
+    def shun(self, now_us: int, folder: str) -> list[Output]:
         """A folder was found to have forgotten a promise: a leader has all members know."""
         self._now_us = now_us
-        if self.raft.leading is not None and folder not in self.machine.state.shunned:
+        if self.raft.leader_state is not None and folder not in self.machine.state.shunned:
             self._propose_own([Shun(folder)])
         return self._taken()
 
-    def compact(self) -> list[Out]:
+    def compact(self) -> list[Output]:
         """Put what is applied into a snapshot."""
         self._compact()
         return self._taken()
@@ -268,7 +268,7 @@
     def _compact(self) -> None:
         self._carry(self.raft.compact(self.applied, self.machine.snapshot()))
 
-    def _taken(self) -> list[Out]:
+    def _taken(self) -> list[Output]:
         if self._proposals:
             some, self._proposals = self._proposals, []
             self._carry(self.raft.propose_all(self._now_us, some))
@@ -288,7 +288,7 @@
     def _propose(self, tag: int, request: Request) -> None:
         command = request.acquire if isinstance(request, Wait) else request
         assert not isinstance(command, Read | Watch)
-        if state_machine.grows(command) and not self.raft.roomy:
+        if state_machine.may_grow_state(command) and not self.raft.roomy:
             self._reply(tag, NoRoom(FULL))
             return
         self._asked[tag] = request
@@ -310,7 +310,7 @@
                     self.machine.restore(action.snapshot.data)
                     self.applied = action.snapshot.index
                     self._out.append(Together(action.snapshot.members))
-                    self._out.append(Shunned(tuple(self.machine.state.shunned)))
+                    self._out.append(FoldersShunned(tuple(self.machine.state.shunned)))
                 case Readable():
                     self._readable(action.tag)
                 case Dropped():
@@ -341,16 +341,16 @@
             command = state_machine.command_of(action.entry.data)
             answer = self.machine.apply(action.index, command)
             if isinstance(command, Shun):
-                self._out.append(Shunned((command.folder,)))
+                self._out.append(FoldersShunned((command.folder,)))
         elif action.entry.kind == MEMBERS:
             self._out.append(Together(msgspec.msgpack.decode(action.entry.data, type=tuple[str, ...])))
         self._watch(action, self.machine)
-        leading, leases = self.raft.leading, self.machine.state.leases
+        leading, leases = self.raft.leader_state, self.machine.state.leases
         if leading is not None and not self._ready and action.index >= leading.first:
             self._ready = True
             self._clocks.begin(self._now_us, leases)
         elif self._ready and command is not None:
-            self._clocks.applied(self._now_us, command, answer, leases)
+            self._clocks.update_after(self._now_us, command, answer, leases)
         if action.tag is not None:
             self._answered(action.tag, answer)
         if self._ready and command is not None:
@@ -438,4 +438,4 @@
 
     def left_ms(self, lease: str) -> int:
         """What a lease or its delay has left, as a leader knows; elsewhere 0."""
-        return self._clocks.left_us(self._now_us, lease) // 1000
+        return self._clocks.remaining_us(self._now_us, lease) // 1000
--- a/quorum/messages.py
+++ b/quorum/messages.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class RecoveredState:
     """All that a member's disk gave back at its start."""
 
     hard: Hard = field(default_factory=Hard)
--- a/quorum/raft.py
+++ b/quorum/raft.py
@@ -33,8 +33,8 @@
     Message,
     Persist,
     Readable,
+    RecoveredState,
     Restored,
-    Saved,
     Send,
     Snapshot,
     TakeOver,
@@ -56,8 +56,8 @@
 class Timing:
     """Microseconds on the member's own monotonic clock."""
 
-    least_election_us: int = 300_000
-    most_election_us: int = 600_000
+    min_election_us: int = 300_000
+    max_election_us: int = 600_000
     heartbeat_us: int = 60_000
 
 
@@ -70,7 +70,7 @@
     round: int = 0  # the last one that it answered
     heard_us: int = 0
     installing_us: int = 0  # until when a snapshot is left under way
-    full: bool = False  # its disk takes nothing that can wait
+    disk_full: bool = False  # its disk takes nothing that can wait
     probing: bool = False  # where its log agrees is being asked for: until then it gets no entries
     probe_round: int = 0  # refusals of what was sent before tell nothing new
 
@@ -98,7 +98,7 @@
         name: str,
         members: tuple[str, ...],
         *,
-        saved: Saved,
+        saved: RecoveredState,
         timing: Timing,
         draw: Draw,
         now_us: int,
@@ -110,14 +110,14 @@
         self.log = Log(snapshot, saved.entries)
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit = snapshot.index
-        self.leading: Leading | None = None
+        self.leader_state: Leading | None = None
         self._votes: dict[str, bool] = {}
-        self.full = False  # this one's disk takes nothing that can wait
+        self.disk_full = False  # this one's disk takes nothing that can wait
         self._pre = False  # the votes are asked for beforehand only
         self._actions: list[Action] = []
         self._written = self._synced = 0  # numbers of writes
         self._held: deque[tuple[int, Callable[[], None]]] = deque()  # what waits for a write
-        self._heard_us = now_us - timing.most_election_us  # of a leader
+        self._heard_us = now_us - timing.max_election_us  # of a leader
         self._due_us = 0
         self._members = self._members_now()
         self._wait_for_leader()
@@ -126,7 +126,7 @@
 
     def _members_now(self) -> tuple[str, ...]:
         """The members by the last entry that names them, committed or not (thesis, 4.1)."""
-        return self._members_at(self.log.last)
+        return self._members_at(self.log.last_index)
 
     @property
     def members(self) -> tuple[str, ...]:
@@ -156,8 +156,8 @@
         """Time has passed."""
         self._now_us = now_us
         if now_us >= self._due_us:
-            if self.leading is not None:
-                self._beat(self.leading)
+            if self.leader_state is not None:
+                self._beat(self.leader_state)
             else:
                 self._stand(pre=True)
         return self._taken()
@@ -199,10 +199,10 @@
     def propose_all(self, now_us: int, some: list[tuple[int, bytes]], kind: int = COMMAND) -> list[Action]:
         """Several at once, by tag: one write, and one message to each follower."""
         self._now_us = now_us
-        leading = self.leading
+        leading = self.leader_state
         if leading is None or len(leading.tags) + len(some) > MOST_WAITING:
             return [Dropped(tag, unknown=False) for tag, _ in some]
-        for at, (tag, _) in enumerate(some, self.log.last + 1):
+        for at, (tag, _) in enumerate(some, self.log.last_index + 1):
             leading.tags[at] = tag
         self._extend(tuple(Entry(self.term, kind, data) for _, data in some))
         for name, follower in leading.followers.items():
@@ -213,7 +213,7 @@
     def read(self, now_us: int, *tags: int) -> list[Action]:
         """Reads: ``Readable`` for each once a majority still follows this leader (thesis, 6.4)."""
         self._now_us = now_us
-        leading = self.leading
+        leading = self.leader_state
         if leading is None or len(leading.reads) + len(tags) > MOST_WAITING:
             return [Dropped(tag, unknown=False) for tag in tags]
         leading.round += 1
@@ -224,43 +224,47 @@
 
     def disk(self, now_us: int, full: bool) -> list[Action]:
         """This member's disk takes nothing that can wait, or does again; a leader lets another lead."""
-        self._now_us, self.full = now_us, full
-        if self.leading is not None and full and not all(f.full for f in self.leading.followers.values()):
+        self._now_us, self.disk_full = now_us, full
+        if (
+            self.leader_state is not None
+            and full
+            and not all(f.disk_full for f in self.leader_state.followers.values())
+        ):
             return self.step_down(now_us)
         return self._taken()
 
     @property
     def roomy(self) -> bool:
         """Whether a majority's disks, as far as this leader knows, take what can wait."""
-        some = self.leading.followers if self.leading is not None else {}
-        room = {name for name, follower in some.items() if not follower.full}
-        return self._majority(room if self.full else room | {self.name})
+        some = self.leader_state.followers if self.leader_state is not None else {}
+        room = {name for name, follower in some.items() if not follower.disk_full}
+        return self._majority(room if self.disk_full else room | {self.name})
 
     def change(self, now_us: int, tag: int, members: tuple[str, ...]) -> list[Action]:
         """Add or remove one member; dropped while another change, or the leader's term, is not committed."""
-        leading = self.leading
+        leading = self.leader_state
         if leading is None or not self._may_change(leading, members):
             return [Dropped(tag, unknown=False)]
         return self.propose(now_us, tag, msgspec.msgpack.encode(members), MEMBERS)
 
     @property
-    def changeable(self) -> bool:
+    def can_change_members(self) -> bool:
         """Whether the members may change now: no change is under way, and this leader's term has begun."""
         pending = any(
-            self.log.at(index).kind == MEMBERS
-            for index in range(max(self.commit + 1, self.log.first), self.log.last + 1)
+            self.log.entry_at(index).kind == MEMBERS
+            for index in range(max(self.commit + 1, self.log.first_index), self.log.last_index + 1)
         )
-        return self.leading is not None and not pending and self.commit >= self.leading.first
+        return self.leader_state is not None and not pending and self.commit >= self.leader_state.first
 
     def _may_change(self, leading: Leading, members: tuple[str, ...]) -> bool:
-        return len(set(members) ^ set(self._members)) == 1 and self.changeable
+        return len(set(members) ^ set(self._members)) == 1 and self.can_change_members
 
     def step_down(self, now_us: int) -> list[Action]:
         """An operator's wish: the follower that is furthest, of those with room, takes over."""
         self._now_us = now_us
-        if self.leading is not None and self.leading.followers:
-            some = self.leading.followers
-            name = max(some, key=lambda name: (not some[name].full, some[name].match))
+        if self.leader_state is not None and self.leader_state.followers:
+            some = self.leader_state.followers
+            name = max(some, key=lambda name: (not some[name].disk_full, some[name].match))
             self._emit(Send(name, TakeOver(self.term)))
         return self._taken()
 
@@ -276,8 +280,8 @@
 
     def _members_at(self, index: int) -> tuple[str, ...]:
         """The members by the last entry up to an index that names them."""
-        for at in range(index, self.log.first - 1, -1):
-            entry = self.log.at(at)
+        for at in range(index, self.log.first_index - 1, -1):
+            entry = self.log.entry_at(at)
             if entry.kind == MEMBERS:
                 return msgspec.msgpack.decode(entry.data, type=tuple[str, ...])
         return self.log.snapshot.members
@@ -297,8 +301,8 @@
     def _persist_all(self) -> None:
         """A write that holds everything: whatever was written before counts no more."""
         log = self.log
-        entries = tuple(log.at(index) for index in range(log.first, log.last + 1))
-        self._persist(Hard(self.term, self.vote), log.first, entries, log.snapshot)
+        entries = tuple(log.entry_at(index) for index in range(log.first_index, log.last_index + 1))
+        self._persist(Hard(self.term, self.vote), log.first_index, entries, log.snapshot)
 
     def _after_sync(self, done: Callable[[], None]) -> None:
         """Once all that is written so far is durable."""
@@ -316,20 +320,20 @@
 
     def _extend(self, entries: tuple[Entry, ...]) -> None:
         """A leader's own entries."""
-        first = self.log.last + 1
+        first = self.log.last_index + 1
         self.log.replace(first, entries)
         self._persist(first=first, entries=entries)
         if any(entry.kind == MEMBERS for entry in entries):
             self._members = self._members_now()
             self._meet_members()
-        term, last = self.term, self.log.last
+        term, last = self.term, self.log.last_index
         self._after_sync(lambda: self._own(term, last))
 
     def _own(self, term: int, last: int) -> None:
         """A leader's entries are durable here."""
-        if self.leading is not None and self.term == term:
-            self.leading.match = max(self.leading.match, last)
-            self._advance(self.leading)
+        if self.leader_state is not None and self.term == term:
+            self.leader_state.match = max(self.leader_state.match, last)
+            self._advance(self.leader_state)
 
     # Terms and elections
 
@@ -341,8 +345,8 @@
 
     def _led(self) -> bool:
         """Whether a leader was heard so lately that no election may have begun since."""
-        led = self.leader and self._now_us - self._heard_us < self._timing.least_election_us
-        return bool(led) or self.leading is not None
+        led = self.leader and self._now_us - self._heard_us < self._timing.min_election_us
+        return bool(led) or self.leader_state is not None
 
     def _enter(self, term: int) -> None:
         """A newer term has begun."""
@@ -352,7 +356,7 @@
 
     def _yield(self, leader: str) -> None:
         """Follow; what was proposed here has an unknown end."""
-        leading, self.leading = self.leading, None
+        leading, self.leader_state = self.leader_state, None
         self.role, self.leader = Role.FOLLOWER, leader
         if leading is not None:
             for index, tag in leading.tags.items():
@@ -363,7 +367,7 @@
 
     def _wait_for_leader(self) -> None:
         timing = self._timing
-        self._due_us = self._now_us + self._draw(timing.least_election_us, timing.most_election_us)
+        self._due_us = self._now_us + self._draw(timing.min_election_us, timing.max_election_us)
 
     def _stand(self, pre: bool, transfer: bool = False) -> None:
         """Ask for votes; first whether there would be a majority, so that a lone member disturbs none."""
@@ -380,21 +384,21 @@
             self.term, self.vote = self.term + 1, self.name
             term = self.term
             self._save_hard()
-        ask = AskVote(term, self.log.last, self.log.last_term, pre, transfer)
+        ask = AskVote(term, self.log.last_index, self.log.last_term, pre, transfer)
         for name in self.others:
             self._promise(name, ask)
         self._after_sync(lambda: self._count(term, self.name, pre))
 
     def _up_to_date(self, message: AskVote) -> bool:
         """Whether the asker's log holds all that may be committed (5.4.1)."""
-        return (message.last_term, message.last_index) >= (self.log.last_term, self.log.last)
+        return (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
 
     def _asked(self, sender: str, message: AskVote) -> None:
         if message.pre:
             granted = message.term > self.term and not self._led() and self._up_to_date(message)
             self._promise(sender, Vote(message.term if granted else self.term, granted, pre=True))
             return
-        free = self.vote in ("", sender) and self.leading is None
+        free = self.vote in ("", sender) and self.leader_state is None
         granted = message.term == self.term and free and self._up_to_date(message)
         if granted and self.vote != sender:
             self.vote = sender
@@ -411,7 +415,7 @@
     def _count(self, term: int, sender: str, pre: bool) -> None:
         """A vote for this member."""
         current = term == (self.term + 1 if pre else self.term)
-        asking = self.role is Role.CANDIDATE or (pre and self.leading is None and not self.leader)
+        asking = self.role is Role.CANDIDATE or (pre and self.leader_state is None and not self.leader)
         if not current or pre is not self._pre or not asking:
             return
         self._votes[sender] = True
@@ -425,20 +429,21 @@
     def _lead(self) -> None:
         """The election is won: an entry of this term is the first that counts."""
         self.role, self.leader = Role.LEADER, self.name
-        self.leading = Leading({}, self.log.last + 1)
+        self.leader_state = Leading({}, self.log.last_index + 1)
         self._votes = {}
         self._meet_members()
         self._extend((Entry(self.term, NOOP),))
-        if self.leading is not None:
-            self._beat(self.leading)
+        if self.leader_state is not None:
+            self._beat(self.leader_state)
 
     def _meet_members(self) -> None:
         """A leader's followers are the other members."""
-        if self.leading is None:
+        if self.leader_state is None:
             return
-        known = self.leading.followers
-        self.leading.followers = {
-            name: known.get(name, Follower(self.log.last + 1, heard_us=self._now_us)) for name in self.others
+        known = self.leader_state.followers
+        self.leader_state.followers = {
+            name: known.get(name, Follower(self.log.last_index + 1, heard_us=self._now_us))
+            for name in self.others
         }
 
     # Leading
@@ -446,7 +451,7 @@
     def _beat(self, leading: Leading) -> None:
         """A heartbeat; a leader that a majority has not answered for long is one no longer (check-quorum)."""
         self._due_us = self._now_us + self._timing.heartbeat_us
-        since_us = self._now_us - self._timing.most_election_us
+        since_us = self._now_us - self._timing.max_election_us
         heard = {name for name, some in leading.followers.items() if some.heard_us >= since_us}
         if not self._majority(heard | {self.name}):
             self._yield("")
@@ -474,16 +479,16 @@
         follower = leading.followers[name]
         if follower.installing_us > self._now_us:
             return
-        follower.installing_us = self._now_us + self._timing.most_election_us
+        follower.installing_us = self._now_us + self._timing.max_election_us
         snapshot = self.log.snapshot
         self._after_sync(lambda: self._emit(Send(name, Install(self.term, snapshot, leading.round))))
 
     def _appended(self, sender: str, message: Appended) -> None:
-        leading = self.leading
+        leading = self.leader_state
         if leading is None or message.term != self.term or sender not in leading.followers:
             return
         follower = leading.followers[sender]
-        follower.heard_us, follower.full = self._now_us, message.full
+        follower.heard_us, follower.disk_full = self._now_us, message.full
         follower.round = max(follower.round, message.round)
         if message.ok:
             follower.match = max(follower.match, message.match)
@@ -497,9 +502,9 @@
             leading.round += 1
             follower.probing, follower.probe_round = True, leading.round
             self._send_entries(leading, sender)
-        if self.leading is not None:
-            self._confirm(self.leading)
-            if message.ok and not follower.probing and follower.next <= self.log.last:
+        if self.leader_state is not None:
+            self._confirm(self.leader_state)
+            if message.ok and not follower.probing and follower.next <= self.log.last_index:
                 self._send_entries(leading, sender)
 
     def _may_commit(self, index: int) -> bool:
@@ -508,7 +513,7 @@
 
     def _advance(self, leading: Leading) -> None:
         """Commit what a majority has on its disks."""
-        for index in range(self.log.last, self.commit, -1):
+        for index in range(self.log.last_index, self.commit, -1):
             have = {name for name, some in leading.followers.items() if some.match >= index}
             if leading.match >= index:
                 have.add(self.name)
@@ -517,15 +522,15 @@
                 break
 
     def _commit(self, index: int) -> None:
-        for at in range(self.commit + 1, min(index, self.log.last) + 1):
-            tag = self.leading.tags.pop(at, None) if self.leading is not None else None
+        for at in range(self.commit + 1, min(index, self.log.last_index) + 1):
+            tag = self.leader_state.tags.pop(at, None) if self.leader_state is not None else None
             self.commit = at
-            self._emit(Committed(at, self.log.at(at), tag))
-        if self.leading is not None:
-            if self.name not in self._members and self.log.last == self.commit:
+            self._emit(Committed(at, self.log.entry_at(at), tag))
+        if self.leader_state is not None:
+            if self.name not in self._members and self.log.last_index == self.commit:
                 self._yield("")  # removed, and the others know it
                 return
-            self._confirm(self.leading)
+            self._confirm(self.leader_state)
 
     def _confirm(self, leading: Leading) -> None:
         """Reads whose round a majority has answered; none before this term's first entry is committed."""
@@ -549,7 +554,7 @@
         self._wait_for_leader()
 
     def _answer(self, sender: str, ok: bool, match: int, number: int) -> None:
-        self._promise(sender, Appended(self.term, ok, match, number, self.full))
+        self._promise(sender, Appended(self.term, ok, match, number, self.disk_full))
 
     def _append(self, sender: str, message: Append) -> None:
         if message.term < self.term:
@@ -575,7 +580,7 @@
         """Where the leader is to try next: before the whole term that disagrees, or at the log's end."""
         term = self.log.term_at(previous)
         if term is None:
-            return min(previous - 1, self.log.last)
+            return min(previous - 1, self.log.last_index)
         index = previous
         while index > self.log.snapshot.index and self.log.term_at(index) == term:
             index -= 1
@@ -586,7 +591,7 @@
         for at, entry in enumerate(entries):
             index = previous + 1 + at
             if self.log.term_at(index) != entry.term:
-                rest, undone = entries[at:], index <= self.log.last
+                rest, undone = entries[at:], index <= self.log.last_index
                 self.log.replace(index, rest)
                 self._persist(first=index, entries=rest)
                 if undone or any(item.kind == MEMBERS for item in rest):
--- a/quorum/server.py
+++ b/quorum/server.py
@@ -19,8 +19,8 @@
 from operatorpages import JSON, METRICS, Page, Pages
 from quorum import wire
 from quorum.config import Config
-from quorum.incarnations import Claim, Lives
-from quorum.member import Elsewhere, Member, Out, Reply, Request, Shunned, Together
+from quorum.incarnations import IncarnationRegistry, StartupClaim
+from quorum.member import Elsewhere, FoldersShunned, Member, Output, Reply, Request, Together
 from quorum.messages import Message, Persist, Send
 from quorum.metrics import Figures
 from quorum.monotonic_clock import now_us
@@ -36,7 +36,7 @@
     Hello,
     Turned,
     WireError,
-    frame,
+    encode_frame,
 )
 from tomlconfig import Address, address_of
 
@@ -61,7 +61,7 @@
         """Put a message on its way."""
         if self._queue.full():
             self._queue.get_nowait()
-        self._queue.put_nowait(frame(message))
+        self._queue.put_nowait(encode_frame(message))
 
     async def run(self) -> None:
         """Connect, send, and again; the pauses grow unless a connection has lasted."""
@@ -92,7 +92,7 @@
         ended = asyncio.ensure_future(wire.read_frame(reader, MOST_ASKED))  # its end, and perhaps why
         heard = asyncio.get_running_loop().call_later(AGAIN_S[1], self._listened)
         try:
-            writer.write(frame(self._hello))
+            writer.write(encode_frame(self._hello))
             while not ended.done():
                 item = asyncio.ensure_future(self._queue.get())
                 await asyncio.wait({item, ended}, return_when=asyncio.FIRST_COMPLETED)
@@ -103,7 +103,7 @@
                 async with asyncio.timeout(FRAME_S):
                     await writer.drain()
             body = await ended
-            why = wire.decoded(wire.turned_decoder, body).why if body else ""
+            why = wire.decode_body(wire.turned_decoder, body).why if body else ""
             if why and why != self.turned:
                 LOG.error("a member does not listen to this one", member=self.name, why=why)
             self.turned = why
@@ -133,9 +133,9 @@
             draw=self._random.randint, now_us=now_us(),
         )  # fmt: skip
         raft = self._member.raft
-        claim = Claim(raft.term, raft.vote, raft.log.last)
+        claim = StartupClaim(raft.term, raft.vote, raft.log.last_index)
         self._hello = Hello(VERSION, config.name, self._store.life, claim)
-        self._lives = Lives(config.name, self._store.lives, self._store.shunned)
+        self._lives = IncarnationRegistry(config.name, self._store.lives, self._store.shunned)
         self._knowing = asyncio.Lock()
         self._peers: dict[str, tuple[Peer, asyncio.Task[None]]] = {}
         self._heard: dict[str, tuple[asyncio.StreamWriter, str]] = {}  # members' connections and folders
@@ -175,7 +175,7 @@
         self._spawn(self._write())
         self._arm()
         raft = self._member.raft
-        LOG.info("member is up", name=self._config.name, term=raft.term, entries=raft.log.last)
+        LOG.info("member is up", name=self._config.name, term=raft.term, entries=raft.log.last_index)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -216,7 +216,7 @@
 
     # Steps
 
-    def _did(self, out: list[Out]) -> None:
+    def _did(self, out: list[Output]) -> None:
         """Carry out what a step of the member has decided."""
         for item in out:
             match item:
@@ -233,7 +233,7 @@
                 case Together():
                     if self._lives.keep(item.names):
                         self._spawn(self._know())
-                case Shunned():
+                case FoldersShunned():
                     if news := [folder for folder in item.folders if self._lives.shun(folder)]:
                         self._shun(news)
         raft = self._member.raft
@@ -249,7 +249,7 @@
             return
         self._figures.requests.labels(asked, type(item.response).__name__).inc()
         if not writer.is_closing():
-            writer.write(frame(wire.Told(number, item.response)))
+            writer.write(encode_frame(wire.Told(number, item.response)))
 
     def _arm(self) -> None:
         due_us = self._member.due_us
@@ -290,7 +290,7 @@
         self._reserve_us = now_us() + DISK_AGAIN_US
         if first:
             LOG.error("the disk refuses", why=error.strerror)
-            self._did(self._member.disk(now_us(), True))
+            self._did(self._member.set_disk_full(now_us(), True))
         if error.errno in FULL and self._store.give_up_reserve():
             return
         self._did(self._member.compact())
@@ -304,7 +304,7 @@
         if self._store.make_reserve():
             LOG.info("the disk takes writes again")
             self._disk = ""
-            self._did(self._member.disk(now_us(), False))
+            self._did(self._member.set_disk_full(now_us(), False))
 
     # Connections
 
@@ -315,7 +315,7 @@
             body = await wire.read_frame(reader, MOST_ASKED, HELLO_S)
             if not body:
                 return
-            hello = wire.decoded(wire.hello_decoder, body)
+            hello = wire.decode_body(wire.hello_decoder, body)
             if hello.version != VERSION:
                 raise WireError(f"version {hello.version}, not {VERSION}")
             if hello.member:
@@ -337,7 +337,7 @@
         name = hello.member
         why = await self._refusal(hello)
         if why:
-            writer.write(frame(Turned(why)))
+            writer.write(encode_frame(Turned(why)))
             raise WireError(why)
         assert hello.life is not None
         if name in self._heard:
@@ -345,10 +345,10 @@
         self._heard[name] = (writer, hello.life.folder)
         try:
             while body := await wire.read_frame(reader, MOST_FRAME):
-                message = wire.decoded(wire.message_decoder, body)
+                message = wire.decode_body(wire.message_decoder, body)
                 if self._heard.get(name, (None, ""))[0] is not writer:
                     return
-                self._lives.note(name, message)
+                self._lives.record_message(name, message)
                 self._did(self._member.receive(now_us(), name, message))
         finally:
             if self._heard.get(name, (None, ""))[0] is writer:
@@ -360,25 +360,27 @@
         if name == self._config.name or name not in self._peers or life is None:
             return f"{name!r} is no other member here"
         async with self._knowing:
-            if why := self._lives.refusal(name, life, hello.claim):
+            if why := self._lives.rejection_reason(name, life, hello.claim):
                 if life.folder in self._lives.shunned:
                     self._did(self._member.shun(now_us(), life.folder))
                     self._spawn(self._know())
                 return why
-            if self._lives.heard(name, life):
+            if self._lives.accept(name, life):
                 try:
                     await asyncio.to_thread(self._store.know, self._lives.known, self._lives.shunned)
                 except OSError as error:
                     self._lives.unheard(name, self._store.lives)
                     return f"the disk refuses to note who was heard: {error.strerror}"
-            return self._lives.refusal(name, life, hello.claim)  # it may have been shunned meanwhile
+            return self._lives.rejection_reason(name, life, hello.claim)  # it may have been shunned meanwhile
 
     def _shun(self, folders: list[str]) -> None:
         """Folders that are not heard from now on."""
         LOG.error("a folder has forgotten promises and is not heard", folders=folders)
         for name, (writer, folder) in list(self._heard.items()):
             if folder in folders:
-                writer.write(frame(Turned(f"{name} speaks from a copy of its folder, as another has found")))
+                writer.write(
+                    encode_frame(Turned(f"{name} speaks from a copy of its folder, as another has found"))
+                )
                 writer.close()
                 del self._heard[name]
         self._spawn(self._know())
@@ -403,7 +405,7 @@
                     return
                 if not body:
                     return
-                self._serve(writer, wire.decoded(wire.asked_decoder, body))
+                self._serve(writer, wire.decode_body(wire.client_message_decoder, body))
                 await writer.drain()
         finally:
             self._clients -= 1
@@ -420,19 +422,19 @@
                     asyncio.get_running_loop().call_soon(self._ask_all)
                 self._together.append((tag, asked.request))
             case wire.Status():
-                writer.write(frame(self.health(asked.number)))
+                writer.write(encode_frame(self.health(asked.number)))
             case wire.Leases():
-                writer.write(frame(self._leases(asked.number)))
+                writer.write(encode_frame(self._leases(asked.number)))
             case wire.Copy():
                 LOG.info("an operator takes a snapshot")
                 self._did(self._member.compact())
-                writer.write(frame(wire.Copied(asked.number, self._member.raft.log.snapshot)))
+                writer.write(encode_frame(wire.Copied(asked.number, self._member.raft.log.snapshot)))
             case wire.StepDown():
                 LOG.info("an operator wants another leader")
                 leads = self._member.raft.role is Role.LEADER
                 self._did(self._member.step_down(now_us()))
                 answer = Done() if leads else Elsewhere(self._member.raft.leader)
-                writer.write(frame(wire.Told(asked.number, answer)))
+                writer.write(encode_frame(wire.Told(asked.number, answer)))
             case wire.Change():
                 self._change(writer, asked)
 
@@ -452,7 +454,7 @@
         names = {*raft.members, asked.add} - {asked.remove, ""}
         why = ""
         if raft.role is not Role.LEADER:
-            writer.write(frame(wire.Told(asked.number, Elsewhere(raft.leader))))
+            writer.write(encode_frame(wire.Told(asked.number, Elsewhere(raft.leader))))
             return
         if asked.add and asked.add not in self._config.members:
             why = f"{asked.add!r} has no address in the members' table of {self._config.name}"
@@ -460,31 +462,31 @@
             why = f"the members are {', '.join(raft.members)}"
         elif not names:
             why = "one member has to stay"
-        elif not raft.changeable:
+        elif not raft.can_change_members:
             why = "another change is under way, or the leader is new: ask again"
         if why:
-            writer.write(frame(wire.Told(asked.number, Refused(why))))
+            writer.write(encode_frame(wire.Told(asked.number, Refused(why))))
             return
         LOG.info("an operator changes the members", members=sorted(names))
         tag = self._noted(writer, asked.number, "Change")
-        self._did(self._member.change(now_us(), tag, tuple(sorted(names))))
+        self._did(self._member.change_members(now_us(), tag, tuple(sorted(names))))
 
     # Operators
 
     def health(self, number: int) -> wire.Health:
         """How this member is."""
         member, raft = self._member, self._member.raft
-        followers = raft.leading.followers if raft.leading is not None else {}
-        full = {name for name, some in followers.items() if some.full}
+        followers = raft.leader_state.followers if raft.leader_state is not None else {}
+        full = {name for name, some in followers.items() if some.disk_full}
         state = member.machine.state
         return wire.Health(
             number=number, name=self._config.name, role=raft.role.value, term=raft.term, leader=raft.leader,
             commit=raft.commit, applied=member.applied, members=raft.members,
-            lag={name: raft.log.last - some.match for name, some in followers.items()},
+            lag={name: raft.log.last_index - some.match for name, some in followers.items()},
             leases=len(state.leases), sessions=len(state.sessions), records=len(state.records),
             waiting=len(member.waiting) + len(member.watching), log_entries=len(raft.log),
             log_bytes=self._store.size, disk=self._disk,
-            full=tuple(sorted(full | ({self._config.name} if raft.full else set()))),
+            full=tuple(sorted(full | ({self._config.name} if raft.disk_full else set()))),
             turned={name: peer.turned for name, (peer, _) in self._peers.items() if peer.turned},
         )  # fmt: skip
 
--- a/quorum/service_logging.py
+++ b/quorum/service_logging.py
@@ -31,7 +31,7 @@
             self.left_out += 1
 
 
-def log_lines() -> None:
+def configure_logging() -> None:
     """Set it up, for the whole process."""
     structlog.configure(
         processors=[
--- a/quorum/state_machine.py
+++ b/quorum/state_machine.py
@@ -15,7 +15,7 @@
 MOST_BYTES = 8 * 1024 * 1024  # of all records: the state has to pass in one frame
 NO_SESSION = "no such session"
 RESTORED_TOKENS = 1_000_000_000  # more than any quorum gives between a copy and its restoration
-MOST_TTL_MS, LEAST_TTL_MS = 600_000, 100
+MAX_TTL_MS, MIN_TTL_MS = 600_000, 100
 MOST_DELAY_MS = 600_000
 
 
@@ -179,8 +179,8 @@
     if isinstance(command, Acquire):
         if not command.lease:
             return "a lease has a name"
-        if not LEAST_TTL_MS <= command.ttl_ms <= MOST_TTL_MS:
-            return f"ttl_ms is from {LEAST_TTL_MS} to {MOST_TTL_MS}"
+        if not MIN_TTL_MS <= command.ttl_ms <= MAX_TTL_MS:
+            return f"ttl_ms is from {MIN_TTL_MS} to {MAX_TTL_MS}"
         if not 0 <= command.delay_ms <= MOST_DELAY_MS:
             return f"delay_ms is from 0 to {MOST_DELAY_MS}"
     if isinstance(command, Put):
@@ -191,7 +191,7 @@
     return ""
 
 
-def grows(command: Command) -> bool:
+def may_grow_state(command: Command) -> bool:
     """Whether a command may make the state larger."""
     return isinstance(command, Open | Acquire) or (isinstance(command, Put) and bool(command.value))
 
@@ -210,7 +210,7 @@
     return msgspec.msgpack.encode(state)
 
 
-class Machine:
+class StateMachine:
     """The state, and how a command changes it."""
 
     def __init__(self, data: bytes = b"") -> None:
--- a/quorum/store.py
+++ b/quorum/store.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from quorum.incarnations import Life
+from quorum.incarnations import Incarnation
 from quorum.log import Log
-from quorum.messages import Entry, Hard, Persist, Saved, Snapshot
+from quorum.messages import Entry, Hard, Persist, RecoveredState, Snapshot
 
 HEAD = struct.Struct("<II")  # length and CRC-32 of what follows
 FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)  # what a disk says that is full
@@ -34,7 +34,7 @@
     """The folder cannot be used: what is in it, in one line."""
 
 
-class Written(msgspec.Struct, frozen=True, array_like=True):
+class LogRecord(msgspec.Struct, frozen=True, array_like=True):
     """One record."""
 
     hard: Hard | None = None
@@ -43,7 +43,7 @@
     snapshot: Snapshot | None = None
 
 
-_DECODER = msgspec.msgpack.Decoder(Written)
+_DECODER = msgspec.msgpack.Decoder(LogRecord)
 
 
 class Known(msgspec.Struct, frozen=True):
@@ -51,17 +51,17 @@
 
     folder: str
     start: int
-    lives: dict[str, Life]
+    lives: dict[str, Incarnation]
     shunned: tuple[str, ...] = ()
 
 
-class Folded:
+class LogReplay:
     """What some writes in a row come to."""
 
     def __init__(self) -> None:
         self._hard, self._log = Hard(), Log(Snapshot(), ())
 
-    def add(self, written: Persist | Written) -> None:
+    def add(self, written: Persist | LogRecord) -> None:
         """One more write."""
         if written.hard is not None:
             self._hard = written.hard
@@ -71,22 +71,22 @@
             self._log.replace(written.first, written.entries)
 
     @property
-    def saved(self) -> Saved:
+    def saved(self) -> RecoveredState:
         """What a member starts from."""
         log = self._log
-        entries = tuple(log.at(index) for index in range(log.first, log.last + 1))
-        return Saved(self._hard, log.snapshot, entries)
+        entries = tuple(log.entry_at(index) for index in range(log.first_index, log.last_index + 1))
+        return RecoveredState(self._hard, log.snapshot, entries)
 
 
-def record_of(written: Written) -> bytes:
+def encode_record(written: LogRecord) -> bytes:
     """A record as it stands in the file."""
     body = msgspec.msgpack.encode(written)
     return HEAD.pack(len(body), zlib.crc32(body)) + body
 
 
-def read_records(data: bytes) -> tuple[list[Written], int]:
+def read_records(data: bytes) -> tuple[list[LogRecord], int]:
     """The records of a file and where they end; ``StoreError`` where one is broken before others."""
-    found, at = list[Written](), 0
+    found, at = list[LogRecord](), 0
     while at + HEAD.size <= len(data):
         size, checksum = HEAD.unpack_from(data, at)
         body = data[at + HEAD.size : at + HEAD.size + size]
@@ -169,7 +169,7 @@
             raise StoreError(f"{folder}: another process runs on this folder") from None
         except OSError as error:
             raise StoreError(f"{self._path}: {error.strerror}") from error
-        folded = Folded()
+        folded = LogReplay()
         for record in records:
             folded.add(record)
         self.saved = folded.saved  # what a member starts from
@@ -186,10 +186,10 @@
             known = Known(secrets.token_hex(8), 0, {})
         except msgspec.DecodeError as error:
             raise StoreError(f"{path}: {error}") from None
-        self.life = Life(known.folder, known.start + 1, secrets.token_hex(8))
+        self.life = Incarnation(known.folder, known.start + 1, secrets.token_hex(8))
         self.know(known.lives, known.shunned)
 
-    def know(self, lives: dict[str, Life], shunned: tuple[str, ...]) -> None:
+    def know(self, lives: dict[str, Incarnation], shunned: tuple[str, ...]) -> None:
         """Make durable whose lives are heard; ``OSError`` where the disk refuses, and the old ones stand."""
         known = Known(self.life.folder, self.life.start, lives, shunned)
         os.close(replace_file(self._folder / "lives", msgspec.json.encode(known)))
@@ -228,7 +228,7 @@
         whole = max((at for at, item in enumerate(writes) if item.snapshot is not None), default=None)
         some = writes[whole:] if whole is not None else writes  # one with a snapshot holds all before it
         data = b"".join(
-            record_of(Written(item.hard, item.first, item.entries, item.snapshot)) for item in some
+            encode_record(LogRecord(item.hard, item.first, item.entries, item.snapshot)) for item in some
         )
         with self._busy:
             if self._closed:
--- a/quorum/tasks.py
+++ b/quorum/tasks.py
@@ -16,8 +16,8 @@
 
 import structlog
 
-from quorum.client import Client, Keeper, QuorumError
-from quorum.holder import Bounds
+from quorum.client import Client, LeaseKeeper, QuorumError
+from quorum.holder import TimingBounds
 from quorum.monotonic_clock import now_us
 from quorum.state_machine import Done
 from tomlconfig import Address
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class StepResult:
     """What a step comes to; an empty state, or the one before, is not written."""
 
     state: bytes
@@ -41,18 +41,18 @@
 class Task(Protocol):
     """What is done."""
 
-    async def step(self, state: bytes, token: int) -> Step:
+    async def step(self, state: bytes, token: int) -> StepResult:
         """One step from a state, empty at the very first; cancelled where the lease ends meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class TaskTerms:
     """How a task is held."""
 
     name: str
     ttl_ms: int = 3_000
     delay_ms: int = 0  # after an unclean end
-    bounds: Bounds = field(default_factory=Bounds)
+    bounds: TimingBounds = field(default_factory=TimingBounds)
 
 
 @dataclass(slots=True)
@@ -65,21 +65,21 @@
     lost: int = 0  # leases that ended under a step or before a state was written
 
 
-class Runner:
+class TaskRunner:
     """One process's part in a task: waits for its turn, and does the task while it holds the lease."""
 
-    def __init__(self, members: Mapping[str, Address], owner: str, task: Task, *, terms: Terms) -> None:
+    def __init__(self, members: Mapping[str, Address], owner: str, task: Task, *, terms: TaskTerms) -> None:
         self._random = Random()
         self._task, self._terms, self._place = task, terms, f"task/{terms.name}"
         # Two sessions: a renewal must not wait behind a record.
         self._leases, self._records = Client(members, owner), Client(members, owner)
-        self._keeper: Keeper | None = None
-        self.count = Count()
+        self._keeper: LeaseKeeper | None = None
+        self.counts = Count()
 
     @property
     def token(self) -> int:
         """Under which it acts; 0 where it does not."""
-        return self._keeper.holding.token if self._keeper is not None and self._keeper.may_act() else 0
+        return self._keeper.held_lease.token if self._keeper is not None and self._keeper.may_act() else 0
 
     async def run(self, over: asyncio.Event) -> None:
         """Take part until that is set; then give the lease back in order."""
@@ -94,44 +94,44 @@
                 pause_s = min(2 * pause_s, AGAIN_S[1])
         for client in (self._leases, self._records):
             try:
-                await client.end(ASK_S)
+                await client.end_session(ASK_S)
             except QuorumError:
                 client.close()
 
     async def _turn(self, over: asyncio.Event) -> None:
         """Wait for the lease and do the task while it lasts."""
         for client in (self._leases, self._records):
-            if not client.opened:
+            if not client.has_session:
                 await client.open(ASK_S)
-        self._keeper = keeper = Keeper(self._leases, self._place, self._terms.ttl_ms, self._terms.bounds)
+        self._keeper = keeper = LeaseKeeper(self._leases, self._place, self._terms.ttl_ms, self._terms.bounds)
         wait_ms = min(10 * self._terms.ttl_ms, MOST_TURN_MS)
-        waits = keeper.take(wait_ms, ASK_S + wait_ms / 1000, self._terms.delay_ms)
+        waits = keeper.acquire(wait_ms, ASK_S + wait_ms / 1000, self._terms.delay_ms)
         if not await self._unless(over, waits):
             return
-        self.count.taken += 1
-        LOG.info("task taken", task=self._terms.name, token=keeper.holding.token)
-        keeping = asyncio.ensure_future(keeper.keep())
+        self.counts.taken += 1
+        LOG.info("task taken", task=self._terms.name, token=keeper.held_lease.token)
+        keeping = asyncio.ensure_future(keeper.keep_renewed())
         try:
             await self._work(keeper, over)
         finally:
             keeping.cancel()
             await asyncio.gather(keeping, return_exceptions=True)
             if keeper.may_act():
-                await keeper.give_back(ASK_S)
+                await keeper.release(ASK_S)
             else:
-                self.count.lost += 1
+                self.counts.lost += 1
                 LOG.warning("task lost", task=self._terms.name)
 
-    async def _work(self, keeper: Keeper, over: asyncio.Event) -> None:
+    async def _work(self, keeper: LeaseKeeper, over: asyncio.Event) -> None:
         told = await self._records.read(ASK_S, key=self._place)
         version, state, errors = told.version, told.value, 0
         while keeper.may_act() and not over.is_set() and errors < MOST_ERRORS:
-            token = keeper.holding.token
+            token = keeper.held_lease.token
             try:
                 step = await self._covered(keeper, over, self._task.step(state, token))
             except Exception as error:  # whatever a task does, the runner goes on
-                errors, step = errors + 1, Step(b"", AGAIN_S[0] * 2**errors)
-                self.count.errors += 1
+                errors, step = errors + 1, StepResult(b"", AGAIN_S[0] * 2**errors)
+                self.counts.errors += 1
                 LOG.error("a step failed", task=self._terms.name, why=repr(error))
             else:
                 errors = 0
@@ -142,18 +142,20 @@
                     self._place, version, step.state, lease=self._place, token=token, within_s=ASK_S
                 )
                 if not isinstance(answer, Done):
-                    keeper.holding.lost()
+                    keeper.held_lease.lost()
                     LOG.warning("a state was not written", task=self._terms.name, why=str(answer))
                     return
                 version, state = answer.version, step.state
-            self.count.steps += not errors
+            self.counts.steps += not errors
             await self._covered(keeper, over, asyncio.sleep(step.pause_s))
 
-    async def _covered(self, keeper: Keeper, over: asyncio.Event, work: Coroutine[Any, Any, T]) -> T | None:
+    async def _covered(
+        self, keeper: LeaseKeeper, over: asyncio.Event, work: Coroutine[Any, Any, T]
+    ) -> T | None:
         """Do something while the lease lasts; None where it was cut off, in time before the end."""
 
         def left_s() -> float:
-            return (keeper.holding.stop_us - now_us()) / 1e6 if keeper.may_act() else 0.0
+            return (keeper.held_lease.stop_us - now_us()) / 1e6 if keeper.may_act() else 0.0
 
         return await self._unless(over, work, left_s)
 
--- a/quorum/wire.py
+++ b/quorum/wire.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from quorum.incarnations import Claim, Life
+from quorum.incarnations import Incarnation, StartupClaim
 from quorum.member import Request, Response
 from quorum.messages import Message, Snapshot
 
 VERSION = 1
-SIZE = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 MOST_FRAME = 16 * 1024 * 1024  # bytes of a member's frame: a whole snapshot
 MOST_ASKED = 128 * 1024  # bytes of a client's frame
 HELLO_S, FRAME_S = 2.0, 5.0  # s for a first frame, and for a frame once it has begun
@@ -29,8 +29,8 @@
 
     version: int
     member: str = ""
-    life: Life | None = None
-    claim: Claim = Claim()
+    life: Incarnation | None = None
+    claim: StartupClaim = StartupClaim()
 
 
 class Turned(msgspec.Struct, frozen=True, tag="turned"):
@@ -147,14 +147,14 @@
 hello_decoder = msgspec.msgpack.Decoder(Hello)
 turned_decoder = msgspec.msgpack.Decoder(Turned)
 message_decoder = msgspec.msgpack.Decoder(Message)
-asked_decoder = msgspec.msgpack.Decoder(Asked)
+client_message_decoder = msgspec.msgpack.Decoder(Asked)
 answer_decoder = msgspec.msgpack.Decoder(Answer)
 
 
-def frame(item: msgspec.Struct) -> bytes:
+def encode_frame(item: msgspec.Struct) -> bytes:
     """Something as a frame."""
     body = msgspec.msgpack.encode(item)
-    return SIZE.pack(len(body)) + body
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 async def read_frame(reader: asyncio.StreamReader, most: int, first_s: float | None = None) -> bytes:
@@ -167,7 +167,7 @@
             first = await reader.readexactly(1)
         try:
             async with asyncio.timeout(FRAME_S):
-                size = SIZE.unpack(first + await reader.readexactly(SIZE.size - 1))[0]
+                size = LENGTH_PREFIX.unpack(first + await reader.readexactly(LENGTH_PREFIX.size - 1))[0]
                 if not 0 < size <= most:
                     raise WireError(f"a frame of {size} bytes")
                 return await reader.readexactly(size)
@@ -179,7 +179,7 @@
         return b""
 
 
-def decoded(decoder: msgspec.msgpack.Decoder[T], body: bytes) -> T:
+def decode_body(decoder: msgspec.msgpack.Decoder[T], body: bytes) -> T:
     """A frame's content; ``WireError`` where it is something else."""
     try:
         return decoder.decode(body)
--- a/sweeper/__main__.py
+++ b/sweeper/__main__.py
@@ -11,8 +11,8 @@
 import typer
 
 from quorum.client import Client
-from quorum.commands import ended_by_signal, play
-from quorum.service_logging import log_lines
+from quorum.commands import run_command_line, stop_event
+from quorum.service_logging import configure_logging
 from sweeper.config import Config, load
 from sweeper.sweeper import Sweeper, shown, summaries_of, tasks_of
 from tomlconfig import ConfigError
@@ -22,14 +22,14 @@
 
 async def serve(config: Config) -> None:
     """Sweep until SIGTERM or SIGINT; then the lease is given back."""
-    await Sweeper(config).run(ended_by_signal())
+    await Sweeper(config).run(stop_event())
 
 
 @app.command()
 def run(config: Annotated[Path, typer.Argument(help="The sweeper's TOML file.")]) -> None:
     """Take part in sweeping a fleet."""
     loaded = load(config)
-    log_lines()
+    configure_logging()
     asyncio.run(serve(loaded))
 
 
@@ -51,7 +51,7 @@
 
 def main() -> int:
     """Run; 2 and one line where something cannot be used, 1 where a quorum does not do what was asked."""
-    return play(app, "sweeper", (ConfigError, OSError))
+    return run_command_line(app, "sweeper", (ConfigError, OSError))
 
 
 if __name__ == "__main__":
--- a/sweeper/config.py
+++ b/sweeper/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from quorum.state_machine import LEAST_TTL_MS, MOST_TTL_MS
+from quorum.state_machine import MAX_TTL_MS, MIN_TTL_MS
 from sweeper.summary import MOST_IN_RECORD, MOST_NAME, MOST_RELAYS, slices_of
 from tomlconfig import Address, ConfigError, address_of, check_address, read
 
@@ -44,8 +44,8 @@
             raise ConfigError(f"relays: {name!r} is over {MOST_NAME} bytes")
     if not 0 < config.pace_per_s <= MOST_PACE_PER_S:
         raise ConfigError(f"pace_per_s: {config.pace_per_s} is not above 0 and up to {MOST_PACE_PER_S:.0f}")
-    if not LEAST_TTL_MS <= config.ttl_ms <= MOST_TTL_MS:
-        raise ConfigError(f"ttl_ms: {config.ttl_ms} is not from {LEAST_TTL_MS} to {MOST_TTL_MS}")
+    if not MIN_TTL_MS <= config.ttl_ms <= MAX_TTL_MS:
+        raise ConfigError(f"ttl_ms: {config.ttl_ms} is not from {MIN_TTL_MS} to {MAX_TTL_MS}")
     for key, value in (("timeout_ms", config.timeout_ms), ("pause_ms", config.pause_ms)):
         if not 1 <= value <= 600_000:
             raise ConfigError(f"{key}: {value} is not from 1 to 600000")
--- a/sweeper/sweeper.py
+++ b/sweeper/sweeper.py
@@ -12,7 +12,7 @@
 
 from operatorpages import JSON, METRICS, Page, Pages
 from quorum.client import Client, QuorumError
-from quorum.tasks import Runner, Step, Terms
+from quorum.tasks import StepResult, TaskRunner, TaskTerms
 from sweeper.config import Config
 from sweeper.summary import (
     FiguresError,
@@ -76,7 +76,7 @@
         self._pause_s = config.pause_ms / 1000
         self._batch = max(1, int(STEP_S * pace_per_s))
 
-    async def step(self, state: bytes, token: int) -> Step:
+    async def step(self, state: bytes, token: int) -> StepResult:
         """Read the relays that follow; the next step, of whatever holder, goes on behind them."""
         summary = opened(state)
         for name in [name for name in summary.relays if name not in self._relays]:
@@ -96,7 +96,7 @@
                 reading.cancel()
         summary.position = "" if ends else some[-1]
         summary.rounds += ends
-        return Step(packed(summary), self._pause_s if ends else self._pace_s)
+        return StepResult(packed(summary), self._pause_s if ends else self._pace_s)
 
     async def _read(self, name: str) -> tuple[dict[str, int] | None, str]:
         try:
@@ -155,7 +155,7 @@
         self._tasks = tasks_of(config.relays)
         sweeps = {task: Sweep(config, some, len(self._tasks)) for task, some in self._tasks.items()}
         self.runners = [
-            Runner(config.quorum, config.name, sweep, terms=Terms(task, config.ttl_ms))
+            TaskRunner(config.quorum, config.name, sweep, terms=TaskTerms(task, config.ttl_ms))
             for task, sweep in sweeps.items()
         ]
         self._reader = Client(config.quorum, config.name)
@@ -186,7 +186,7 @@
 
     async def _metrics(self) -> Page:
         """The fleet's sums and this sweeper's own counts, in Prometheus' form."""
-        registry, counts = CollectorRegistry(), [runner.count for runner in self.runners]
+        registry, counts = CollectorRegistry(), [runner.counts for runner in self.runners]
         tokens = [runner.token for runner in self.runners]
         for name, text, value in (
             ("sweep_token", "newest token under which this one sweeps, 0: it does not", max(tokens)),
--- a/tests/quorum/planted_bugs.py
+++ b/tests/quorum/planted_bugs.py
@@ -8,9 +8,9 @@
 from msgspec.structs import replace
 
 from fleetlab.sim.quorum import Parts
-from quorum.holder import Asking, Fence, Holding
-from quorum.incarnations import Claim, Life, Lives
-from quorum.lease_timers import Clock, Clocks
+from quorum.holder import Fence, HeldLease, RequestTiming
+from quorum.incarnations import Incarnation, IncarnationRegistry, StartupClaim
+from quorum.lease_timers import Clock, LeaseTimers
 from quorum.messages import (
     COMMAND,
     Action,
@@ -30,11 +30,11 @@
     Close,
     Expire,
     Lease,
-    Machine,
     Put,
     Release,
     Renew,
     Session,
+    StateMachine,
 )
 
 
@@ -83,7 +83,7 @@
     """A leader counts its own copy at once."""
 
     def _after_sync(self, done: Callable[[], None]) -> None:
-        if self.leading is not None:
+        if self.leader_state is not None:
             done()
         else:
             super()._after_sync(done)
@@ -93,7 +93,7 @@
     """An old message takes away entries that it does not speak of."""
 
     def _take(self, previous: int, entries: tuple[Entry, ...]) -> None:
-        if previous + 1 <= self.log.last:
+        if previous + 1 <= self.log.last_index:
             self.log.replace(previous + 1, entries)
             self._persist(first=previous + 1, entries=entries)
             return
@@ -134,7 +134,7 @@
         return len(members) > 0
 
 
-class SnapshotWithoutSessions(Machine):
+class SnapshotWithoutSessions(StateMachine):
     """Sessions are left out of the snapshot."""
 
     def restore(self, data: bytes) -> None:
@@ -142,7 +142,7 @@
         self.state.sessions.clear()
 
 
-class TokenAgain(Machine):
+class TokenAgain(StateMachine):
     """The next token is one more than what is in force, not than what was ever given."""
 
     def _next_token(self) -> int:
@@ -150,7 +150,7 @@
         return self.state.token
 
 
-class RepeatsCount(Machine):
+class RepeatsCount(StateMachine):
     """A request that is repeated is done again."""
 
     def _once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
@@ -160,7 +160,7 @@
         return super()._once(index, command)
 
 
-class ExpiresRenewed(Machine):
+class ExpiresRenewed(StateMachine):
     """The end of a lease's time counts also where it was renewed meanwhile."""
 
     def _change(self, session: Session, command: Close | Acquire | Renew | Release | Put) -> Answer:
@@ -170,14 +170,14 @@
         return answer
 
 
-class NewLeaderShortens(Clocks):
+class NewLeaderShortens(LeaseTimers):
     """A new leader takes every lease's time for over."""
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         super().begin(now_us, {name: replace(lease, ttl_ms=0) for name, lease in leases.items()})
 
 
-class ClocksGoOn(Clocks):
+class ClocksGoOn(LeaseTimers):
     """A leader goes on with the clocks that it kept from the last time it led."""
 
     _kept: Mapping[str, Clock] = {}
@@ -196,10 +196,10 @@
                 self._set(name, Clock(clock.due_us, end))
 
 
-class OldCopyHeard(Lives):
+class OldCopyHeard(IncarnationRegistry):
     """Whoever comes under a member's name is listened to."""
 
-    def refusal(self, name: str, life: Life, claim: Claim) -> str:
+    def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
         return ""
 
 
@@ -216,10 +216,10 @@
 
     def _appended(self, sender: str, message: Appended) -> None:
         super()._appended(sender, message)
-        if self.leading is not None and not message.ok and sender in self.leading.followers:
-            follower = self.leading.followers[sender]
+        if self.leader_state is not None and not message.ok and sender in self.leader_state.followers:
+            follower = self.leader_state.followers[sender]
             follower.next, follower.probing = message.match + 1, False
-            self._send_entries(self.leading, sender)
+            self._send_entries(self.leader_state, sender)
 
 
 class EndsOneByOne(Raft):
@@ -231,21 +231,21 @@
         ]
 
 
-class CountedFromAnswer(Holding):
+class CountedFromAnswer(HeldLease):
     """A lease counts from when its answer came."""
 
     def _counted_us(self, sent_us: int, heard_us: int) -> int:
         return super()._counted_us(heard_us, heard_us)
 
 
-class DriftOnce(Holding):
+class DriftOnce(HeldLease):
     """Only one of the two clocks is thought to drift."""
 
     def _counted_us(self, sent_us: int, heard_us: int) -> int:
         return sent_us + int(self._ttl_us * (1 - self._bounds.drift))
 
 
-class LateRenewal(Holding):
+class LateRenewal(HeldLease):
     """A renewal that comes when the lease is over brings it back."""
 
     def _late(self, now_us: int) -> bool:
@@ -253,10 +253,10 @@
         return False
 
 
-class CountedFromRepeat(Asking):
+class CountedFromRepeat(RequestTiming):
     """A lease counts from the last repeat of its request."""
 
-    def sent(self, now_us: int) -> None:
+    def record_sent(self, now_us: int) -> None:
         self._first_us = now_us
 
 
--- a/tests/quorum/servers.py
+++ b/tests/quorum/servers.py
@@ -15,7 +15,7 @@
 import pytest
 
 from quorum import store
-from quorum.client import Client, QuorumError, leader_of, status
+from quorum.client import Client, QuorumError, leader_of, member_status
 from quorum.config import Config, Times
 from quorum.server import Server
 from quorum.wire import Health
@@ -78,7 +78,7 @@
 
     async def health(self, name: str) -> Health:
         """How one says that it is."""
-        return await status(self.members[name])
+        return await member_status(self.members[name])
 
     async def leader(self) -> str:
         """Who leads, once somebody does."""
@@ -89,7 +89,7 @@
                 found.append(await leader_of({name: self.members[name] for name in self.up}))
             except QuorumError:
                 return False
-            health = await status(found[-1])
+            health = await member_status(found[-1])
             return health.role == "leader" and health.commit > 0
 
         await until(led)
--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -8,15 +8,15 @@
 import pytest
 
 from fleetlab.sim.quorum import Parts
-from quorum.incarnations import Claim, Life
-from quorum.member import Elsewhere, Member, Out, Read, Reply, Request, Response, Told, Unknown
+from quorum.incarnations import Incarnation, StartupClaim
+from quorum.member import Elsewhere, Member, Output, Read, Reply, Request, Response, Told, Unknown
 from quorum.messages import NOOP, Append, Appended, AskVote, Entry, Message, Persist, Send, Vote
 from quorum.raft import Role, Timing
 from quorum.state_machine import Acquire, Done, Expire, Open, Put, Renew, command_of
-from quorum.store import Folded
+from quorum.store import LogReplay
 from tests.quorum.planted_bugs import BUGS
 
-TIMING = Timing(least_election_us=100, most_election_us=200, heartbeat_us=20)
+TIMING = Timing(min_election_us=100, max_election_us=200, heartbeat_us=20)
 
 
 class Bench:
@@ -36,7 +36,7 @@
 
     def start(self, name: str) -> None:
         """A new life from the disk."""
-        folded = Folded()
+        folded = LogReplay()
         for item in self.disks[name]:
             folded.add(item)
         self.members[name] = self.parts.member(
@@ -44,7 +44,7 @@
             raft=self.parts.raft, state=self.parts.machine,
         )  # fmt: skip
 
-    def did(self, name: str, out: list[Out]) -> None:
+    def did(self, name: str, out: list[Output]) -> None:
         """Writes are durable at once, messages wait to be passed on."""
         for item in out:
             if isinstance(item, Persist):
@@ -166,8 +166,8 @@
     if member.raft.role is not Role.LEADER:  # a later term than m4's is needed
         bench.elect("m0")
     old = [
-        index for index in range(1, member.raft.log.last + 1)
-        if member.raft.log.at(index).term < member.raft.term
+        index for index in range(1, member.raft.log.last_index + 1)
+        if member.raft.log.entry_at(index).term < member.raft.term
     ]  # fmt: skip
     return member.raft._may_commit(old[-1]) is False
 
@@ -178,7 +178,7 @@
     bench.elect("m0")
     bench.cut = {"m1", "m2"}
     for tag, members in ((91, ("m0", "m1")), (92, ("m0", "m1", "m2"))):
-        bench.did("m0", bench.members["m0"].change(bench.now_us, tag, members))
+        bench.did("m0", bench.members["m0"].change_members(bench.now_us, tag, members))
     return bench.replies.get(91) is None and bench.replies.get(92) == Elsewhere("m0")
 
 
@@ -211,7 +211,7 @@
     bench = Bench(3, parts)
     bench.elect("m0")
     term = bench.members["m0"].raft.term
-    last = bench.members["m1"].raft.log.last
+    last = bench.members["m1"].raft.log.last_index
     append = Append(term, last, term, (Entry(term, NOOP),), 0, 9)
     return said(bench.members["m1"], bench.now_us, append) == []
 
@@ -233,23 +233,25 @@
 def old_copies_are_not_heard(parts: Parts) -> bool:
     """By what they promised, by their start, by a twin; a restart of the same folder is heard."""
     lives = parts.lives("m0", {})
-    first, second = Life("f", 1, "a"), Life("f", 2, "b")
-    lives.heard("m1", first)
-    lives.note("m1", Vote(5, True))
-    lives.note("m1", Appended(5, True, 9, 1))
-    heard = [Claim(5, "m0", 9), Claim(5, "m0", 12), Claim(6, "", 3)]
-    assert all(not parts.lives("m0", {}).refusal("m1", second, claim) for claim in heard)
-    assert all(not lives.refusal("m1", second, claim) for claim in heard)
+    first, second = Incarnation("f", 1, "a"), Incarnation("f", 2, "b")
+    lives.accept("m1", first)
+    lives.record_message("m1", Vote(5, True))
+    lives.record_message("m1", Appended(5, True, 9, 1))
+    heard = [StartupClaim(5, "m0", 9), StartupClaim(5, "m0", 12), StartupClaim(6, "", 3)]
+    assert all(not parts.lives("m0", {}).rejection_reason("m1", second, claim) for claim in heard)
+    assert all(not lives.rejection_reason("m1", second, claim) for claim in heard)
     refused = []
-    for claim in (Claim(4, "", 9), Claim(5, "m2", 9), Claim(5, "m0", 8)):
+    for claim in (StartupClaim(4, "", 9), StartupClaim(5, "m2", 9), StartupClaim(5, "m0", 8)):
         lives = parts.lives("m0", {"m1": first})
-        lives.note("m1", Vote(5, True))
-        lives.note("m1", Appended(5, True, 9, 1))
-        refused.append(lives.refusal("m1", second, claim))
-        refused.append(lives.refusal("m1", Life("f", 3, "c"), heard[0]))  # it is shunned from then on
+        lives.record_message("m1", Vote(5, True))
+        lives.record_message("m1", Appended(5, True, 9, 1))
+        refused.append(lives.rejection_reason("m1", second, claim))
+        refused.append(
+            lives.rejection_reason("m1", Incarnation("f", 3, "c"), heard[0])
+        )  # it is shunned from then on
     known = parts.lives("m0", {"m1": second})
-    some = (first, Life("f", 2, "twin"), Life("other", 1, "x"))
-    refused += [known.refusal("m1", life, heard[0]) for life in some]
+    some = (first, Incarnation("f", 2, "twin"), Incarnation("other", 1, "x"))
+    refused += [known.rejection_reason("m1", life, heard[0]) for life in some]
     return all(refused)
 
 
@@ -280,7 +282,7 @@
         bench.settle(count)
         bench.wake("m0", after_us=20)
     bench.settle(count)
-    behind = bench.members["m0"].raft.log.last - bench.members["m2"].raft.log.last
+    behind = bench.members["m0"].raft.log.last_index - bench.members["m2"].raft.log.last_index
     return behind == 0 and entries < 200
 
 
@@ -293,7 +295,7 @@
         bench.ask("m0", Acquire(session, number + 1, f"l{number}", 100))
     bench.settle()
     bench.now_us += 100_000
-    leading = bench.members["m0"].raft.leading
+    leading = bench.members["m0"].raft.leader_state
     assert leading is not None
     for follower in leading.followers.values():
         follower.heard_us = bench.now_us
@@ -368,10 +370,10 @@
     """By any member, before it comes to the log."""
     bench = Bench(3, Parts())
     bench.elect("m0")
-    last = bench.members["m0"].raft.log.last
+    last = bench.members["m0"].raft.log.last_index
     assert why in str(bench.done("m0", request_))
     assert why in str(bench.done("m1", request_))
-    assert bench.members["m0"].raft.log.last == last
+    assert bench.members["m0"].raft.log.last_index == last
 
 
 def test_a_member_far_behind_gets_a_snapshot_and_goes_on() -> None:
--- a/tests/quorum/test_server.py
+++ b/tests/quorum/test_server.py
@@ -14,12 +14,12 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from quorum import wire
-from quorum.client import Client, Keeper, QuorumError, call, order
+from quorum.client import Client, LeaseKeeper, QuorumError, ask_member, order
 from quorum.member import NoRoom
 from quorum.monotonic_clock import now_us
 from quorum.state_machine import MOST_VALUE, RESTORED_TOKENS, Done, Refused
 from quorum.store import Store, StoreError
-from quorum.wire import FRAME_S, MOST_ASKED, SIZE, VERSION, Hello, frame
+from quorum.wire import FRAME_S, LENGTH_PREFIX, MOST_ASKED, VERSION, Hello, encode_frame
 from standins.scripted import ROOT
 from tests.quorum.servers import FullDisks, Quorum, quorum, until
 
@@ -41,22 +41,24 @@
         writer.close()
 
 
-GREETING = frame(Hello(VERSION))
+GREETING = encode_frame(Hello(VERSION))
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        frame(Hello(99)),
-        SIZE.pack(0),
-        GREETING + SIZE.pack(MOST_ASKED + 1),
-        GREETING + SIZE.pack(5) + b"\xff\xff\xff\xff\xff",
-        GREETING + SIZE.pack(30) + b"half",
+        encode_frame(Hello(99)),
+        LENGTH_PREFIX.pack(0),
+        GREETING + LENGTH_PREFIX.pack(MOST_ASKED + 1),
+        GREETING + LENGTH_PREFIX.pack(5) + b"\xff\xff\xff\xff\xff",
+        GREETING + LENGTH_PREFIX.pack(30) + b"half",
         GREETING + b"\x00\x00",
-        GREETING + SIZE.pack(16) + msgspec.msgpack.encode({"type": "explode"})[:16].ljust(16, b"\x00"),
-        frame(Hello(VERSION, "stranger")),
-        frame(Hello(VERSION, "q0")),
+        GREETING
+        + LENGTH_PREFIX.pack(16)
+        + msgspec.msgpack.encode({"type": "explode"})[:16].ljust(16, b"\x00"),
+        encode_frame(Hello(VERSION, "stranger")),
+        encode_frame(Hello(VERSION, "q0")),
     ],
     ids=["http", "version", "empty", "huge", "garbage", "half", "cut", "unknown", "stranger", "no life"],
 )
@@ -130,13 +132,13 @@
     async with quorum(tmp_path) as some:
         leader, client = await some.leader(), some.client()
         await client.open(WITHIN_S)
-        keeper = Keeper(client, "sweep", 5_000)
-        assert await keeper.take(0, WITHIN_S)
+        keeper = LeaseKeeper(client, "sweep", 5_000)
+        assert await keeper.acquire(0, WITHIN_S)
         await order(some.members, wire.StepDown(1))
         await until(lambda: moved(some, leader))
-        got = await client.renew("sweep", keeper.holding.token, WITHIN_S)
+        got = await client.renew("sweep", keeper.held_lease.token, WITHIN_S)
         assert isinstance(got.response, Done)
-        assert keeper.holding.renewed(got.counts_from_us, now_us(), got.response.token)
+        assert keeper.held_lease.renewed(got.counts_from_us, now_us(), got.response.token)
         client.close()
 
 
@@ -399,7 +401,7 @@
         await until(lambda: watches(some))
         waits.cancel()
         await until(lambda: nobody_waits(some))
-        await one.end(WITHIN_S)
+        await one.end_session(WITHIN_S)
         got = await last.acquire("sweep", 1_000, within_s=WITHIN_S)
         assert isinstance(got.response, Done)
         last.close()
@@ -414,4 +416,4 @@
     """Nobody there, and somebody else."""
     some = Quorum(tmp_path, 1)
     with pytest.raises(QuorumError, match="does not answer"):
-        await call(some.members["q0"], wire.Status(1))
+        await ask_member(some.members["q0"], wire.Status(1))
--- a/tests/quorum/test_store.py
+++ b/tests/quorum/test_store.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quorum import store
-from quorum.messages import Entry, Hard, Persist, Saved, Snapshot
+from quorum.messages import Entry, Hard, Persist, RecoveredState, Snapshot
 from quorum.store import Store, StoreError
 
 WRITES = [
@@ -19,7 +19,7 @@
 ]
 
 
-def written(folder: Path, writes: list[Persist]) -> Saved:
+def written(folder: Path, writes: list[Persist]) -> RecoveredState:
     """What a folder gives back after some writes, each by itself."""
     some = Store(folder)
     for item in writes:
@@ -28,7 +28,7 @@
     return saved(folder)
 
 
-def saved(folder: Path) -> Saved:
+def saved(folder: Path) -> RecoveredState:
     """What a folder gives back."""
     some = Store(folder)
     some.close()
--- a/tests/quorum/test_tasks.py
+++ b/tests/quorum/test_tasks.py
@@ -15,7 +15,7 @@
 
 from quorum.monotonic_clock import now_us
 from quorum.state_machine import MOST_VALUE
-from quorum.tasks import MOST_ERRORS, Runner, Step, Terms
+from quorum.tasks import MOST_ERRORS, StepResult, TaskRunner, TaskTerms
 from standins.scripted import ROOT
 from sweeper import summary
 from sweeper.config import load
@@ -24,7 +24,7 @@
 from tests.quorum.servers import Quorum, quorum, until
 from tomlconfig import ConfigError
 
-TERMS = Terms("count", ttl_ms=600)
+TERMS = TaskTerms("count", ttl_ms=600)
 
 
 class Counting:
@@ -34,7 +34,7 @@
         self.name, self.notes, self.fails = name, notes, fails
         self.cancelled_us = 0
 
-    async def step(self, state: bytes, token: int) -> Step:
+    async def step(self, state: bytes, token: int) -> StepResult:
         """One more."""
         if self.fails:
             raise ValueError("planted")
@@ -44,12 +44,12 @@
         except asyncio.CancelledError:
             self.cancelled_us = now_us()
             raise
-        return Step(b"%d" % (int(state or b"0") + 1))
+        return StepResult(b"%d" % (int(state or b"0") + 1))
 
 
-def counting(some: Quorum, name: str, notes: list[tuple[str, int, int]], fails: bool = False) -> Runner:
+def counting(some: Quorum, name: str, notes: list[tuple[str, int, int]], fails: bool = False) -> TaskRunner:
     """A process's part in the task."""
-    return Runner(some.members, name, Counting(name, notes, fails), terms=TERMS)
+    return TaskRunner(some.members, name, Counting(name, notes, fails), terms=TERMS)
 
 
 async def test_a_task_passes_over_with_its_state(tmp_path: Path) -> None:
@@ -76,10 +76,14 @@
     notes: list[tuple[str, int, int]] = []
     async with quorum(tmp_path) as some:
         over, other = asyncio.Event(), asyncio.Event()
-        long = Terms("count", ttl_ms=60_000)
-        first = asyncio.ensure_future(Runner(some.members, "a", Counting("a", notes), terms=long).run(over))
+        long = TaskTerms("count", ttl_ms=60_000)
+        first = asyncio.ensure_future(
+            TaskRunner(some.members, "a", Counting("a", notes), terms=long).run(over)
+        )
         await until(lambda: len(notes) > 3)
-        second = asyncio.ensure_future(Runner(some.members, "b", Counting("b", notes), terms=long).run(other))
+        second = asyncio.ensure_future(
+            TaskRunner(some.members, "b", Counting("b", notes), terms=long).run(other)
+        )
         over.set()
         await first
         await until(lambda: notes[-1][0] == "b")
@@ -104,7 +108,7 @@
         await some.start(*gone)
         await until(lambda: len(notes) > count + 3)
         assert notes[-1][2] > notes[count - 1][2]
-        assert runner.count.lost >= 1
+        assert runner.counts.lost >= 1
         over.set()
         await running
 
@@ -116,10 +120,10 @@
         over = asyncio.Event()
         bad = counting(some, "bad", notes, fails=True)
         running = [asyncio.ensure_future(bad.run(over))]
-        await until(lambda: bad.count.errors > 0)
+        await until(lambda: bad.counts.errors > 0)
         running.append(asyncio.ensure_future(counting(some, "good", notes).run(over)))
         await until(lambda: len(notes) > 3)
-        assert bad.count.errors >= MOST_ERRORS
+        assert bad.counts.errors >= MOST_ERRORS
         over.set()
         await asyncio.gather(*running)
 
