--- a/relay/reasons.py
+++ b/relay/reasons.py
@@ -1,4 +1,4 @@
-"""Why a client's connection was ended, and why a message was refused: named for the log and the figures."""
+"""Reasons why a client's connection was closed or a message refused, as named in the log and the figures."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class EndReason(StrEnum):
-    """Why the relay ended a client's connection."""
+    """Why the relay closed a client's connection."""
 
     BROKEN_REQUEST = "broken_request"
     INTERNAL_ERROR = "internal_error"
-    UNFINISHED_BYTES = "unfinished_bytes"  # unfinished requests of all clients hold too much memory
+    UNFINISHED_BYTES = "unfinished_bytes"  # unfinished requests of all clients take too much memory
     NO_REQUEST_IN_TIME = "no_request_in_time"
     DESCRIPTOR_WANTED = "descriptor_wanted"  # another connection needs its descriptor
     SHUTDOWN = "shutdown"
 
 
 class RefusalReason(StrEnum):
-    """Why a message was not taken on."""
+    """Why a message was refused."""
 
     SHUTDOWN = "shutdown"
-    HELD_MESSAGES = "held_messages"
-    HELD_BODIES = "held_bodies"
-    JOURNAL = "journal"
+    HELD_MESSAGES = "held_messages"  # the relay holds as many messages as it may
+    HELD_BODIES = "held_bodies"  # the bodies of held messages take too much memory
+    JOURNAL = "journal"  # the journal is full
