--- a/relay/listeners.py
+++ b/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets that can be held still, so that another process may accept in one's place."""
+"""Listening sockets that can be paused, so that another process can accept connections instead."""
 
 from __future__ import annotations
 
@@ -13,71 +13,73 @@
 
 LOG = logging.getLogger(__name__)
 BACKLOG = 1024
-MAX_ACCEPTS_PER_ITERATION = (
-    64  # connections accepted in one turn of the loop at most: what is there already is served between
-)
-ACCEPT_PAUSE_S = 0.1  # s without accepting once no descriptor is left
-BIND_RETRY_S = 0.05  # s between looks whether an address is free
+# Connections accepted in one event loop iteration, so that existing connections are served in between.
+MAX_ACCEPTS_PER_ITERATION = 64
+ACCEPT_PAUSE_S = 0.1  # seconds without accepting after the process has run out of descriptors
+BIND_RETRY_S = 0.05  # seconds between attempts to listen at an address that is in use
 
 
 def listen_at(address: Address) -> socket.socket:
-    """A socket that listens at an address."""
+    """Return a socket that listens at an address; raise ``OSError`` if that is not possible."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     return socket.create_server(address, family=family, backlog=BACKLOG)
 
 
-async def listen_when_free(address: Address, within_s: float) -> socket.socket:
-    """The same, once whoever listens there has let go; ``OSError`` where that takes too long."""
+async def listen_when_free(address: Address, timeout_s: float) -> socket.socket:
+    """Return a socket that listens at an address, as soon as no other socket does.
+
+    Raises ``OSError`` if the address is still in use after ``timeout_s`` seconds, and for any other error.
+    """
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + within_s
+    deadline_s = loop.time() + timeout_s
     while True:
         try:
             return listen_at(address)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or loop.time() > until_s:
+            if error.errno != errno.EADDRINUSE or loop.time() > deadline_s:
                 raise
         await asyncio.sleep(BIND_RETRY_S)
 
 
 def duplicate_socket(fd: int) -> socket.socket:
-    """A copy of a descriptor that is the platform's and stays open for whoever comes next."""
+    """Return a socket on a copy of a descriptor: the platform owns the original and passes it on later."""
     return socket.socket(fileno=os.dup(fd))
 
 
 class Listener:
-    """Accepts at one socket until it is held still or closed.
+    """Accepts connections on one socket until it is paused or closed.
 
-    asyncio's own server will not do: with no descriptor left it asks again as many times in a turn as its
-    backlog holds, with a traceback in the log for each, and whoever waits learns nothing.
+    asyncio's own server is not used. When the process has no free descriptor, it calls accept as many times
+    per iteration as its backlog is long, logs a traceback for each call, and the waiting peers learn nothing.
     """
 
     def __init__(
         self,
         sock: socket.socket,
-        factory: Callable[[], asyncio.Protocol],
-        full: Callable[[], None] = lambda: None,
-        a_turn: int = MAX_ACCEPTS_PER_ITERATION,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        free_descriptor: Callable[[], None] = lambda: None,
+        accepts_per_iteration: int = MAX_ACCEPTS_PER_ITERATION,
     ) -> None:
-        self.sock, self._protocol_factory, self._free_descriptor, self._accepts_per_iteration = (
-            sock,
-            factory,
-            full,
-            min(MAX_ACCEPTS_PER_ITERATION, a_turn),
-        )
+        self.sock = sock
+        self._protocol_factory = protocol_factory
+        self._free_descriptor = free_descriptor  # called when no descriptor is left for a new connection
+        self._accepts_per_iteration = min(MAX_ACCEPTS_PER_ITERATION, accepts_per_iteration)
         self._loop = asyncio.get_running_loop()
-        self._connecting_tasks: set[asyncio.Task[object]] = set()  # connections that are coming up
+        self._connecting_tasks: set[asyncio.Task[object]] = set()  # set up accepted connections
         self._timer: asyncio.TimerHandle | None = None
-        self._reserve_fd = -1  # a descriptor kept back for closing whom there is no other for; -1: none
+        # A descriptor kept in reserve: without a free one, it is released to accept pending connections and
+        # close them. -1: there is none.
+        self._reserve_fd = -1
 
     async def start(self) -> None:
-        """Accept, also again after ``pause``."""
+        """Start to accept connections, also after ``pause``."""
         self.sock.setblocking(False)
         self.sock.listen(BACKLOG)
         self._open_reserve_fd()
         self._start_accepting()
 
     def pause(self) -> None:
-        """Accept nobody; what is accepted already comes up with the loop's next turns."""
+        """Stop accepting; connections that are already accepted are set up in the next iterations."""
         if self._timer is not None:
             self._timer.cancel()
         if self.sock.fileno() >= 0:
@@ -114,22 +116,23 @@
         try:
             await self._loop.connect_accepted_socket(self._protocol_factory, sock)
         except OSError as error:
-            LOG.info("listen: a connection did not come up: %r", error)
+            LOG.info("listen: an accepted connection could not be set up: %r", error)
             sock.close()
 
     def _handle_no_descriptor(self, error: OSError) -> None:
-        """No descriptor is left: tell whoever waits by closing, and rest instead of asking again at once."""
+        """Close the pending connections, so that their peers learn of it, and pause accepting for a while."""
         self.pause()
         if self._reserve_fd >= 0:
             os.close(self._reserve_fd)
             self._reserve_fd = -1
-            away = self._close_pending_connections()
+            closed = self._close_pending_connections()
             self._open_reserve_fd()
-            LOG.warning("listen: %d connections closed unread: %s", away, error.strerror)
+            LOG.warning("listen: %d connections closed unread: %s", closed, error.strerror)
         self._free_descriptor()
         self._timer = self._loop.call_later(ACCEPT_PAUSE_S, self._start_accepting)
 
     def _close_pending_connections(self) -> int:
+        """Accept and close the connections in the backlog; return their number."""
         for number in range(BACKLOG):
             try:
                 self.sock.accept()[0].close()
