--- a/relay/clients.py
+++ b/relay/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: a RESP2 server that takes messages on or says why not; it never stays silent."""
+"""RESP2 server for clients: accepts messages, or answers every request with the reason why it does not."""
 
 from __future__ import annotations
 
@@ -19,37 +19,40 @@
 
 LOG = logging.getLogger(__name__)
 MAX_BODY_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # bytes of one request; more without an end is no request
-TOKEN_PATTERN = re.compile(rb"[!-~]{1,128}")  # what can stand in a header and in a batch's line
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # unfinished requests that grow beyond this are protocol errors
+TOKEN_PATTERN = re.compile(rb"[!-~]{1,128}")  # valid in an HTTP header and in a line of a batch
 NUMBER_PATTERN = re.compile(rb"[0-9]{1,12}")
-UNFINISHED_MEMORY_SHARE = 0.125  # of the memory: requests that are coming in, of all clients together
-REQUEST_TIMEOUT_S = (
-    2.5  # s for a whole request: a connection without one may go after 2 s, and has to after 3 s
-)
-LINGER_TIMEOUT_S = 0.4  # s of silence after which a connection whose sending was ended is closed
-MAX_LINGER_S = 6.0  # s after which it is closed although its peer goes on sending
-CLOSE_DELAY_ITERATIONS = 2  # of the loop, in which what a connection has brought by now is read and answered
-LINGERING_SHARE = 0.25  # of the bound on clients: connections whose sending was ended, beside the others
-ACCEPT_BATCH_SHARE = (
-    0.125  # of the bound on clients: those accepted in one turn, before any can make room for them
-)
-MAX_DEST = 65535  # no list names a destination beyond; a message for one would owe an end and find no host
+# Share of the memory limit that unfinished requests of all clients together may take.
+UNFINISHED_MEMORY_SHARE = 0.125
+# Seconds for a whole request: a connection without one may be closed after 2 s and must be closed by 3 s.
+REQUEST_TIMEOUT_S = 2.5
+LINGER_TIMEOUT_S = 0.4  # a connection whose write side is closed is closed after this long without data
+MAX_LINGER_S = 6.0  # and after this long even if its peer keeps sending
+# Event loop iterations before a scheduled close, in which data that has already arrived is read and answered.
+CLOSE_DELAY_ITERATIONS = 2
+# Connections whose write side is closed, allowed on top of the limit on clients, as a share of that limit.
+LINGERING_SHARE = 0.25
+# Connections accepted in one event loop iteration, as a share of the limit on clients. Older connections can
+# make room for new ones only between iterations.
+ACCEPT_BATCH_SHARE = 0.125
+# No endpoint list names a higher destination: a message for one would be accepted and never find an endpoint.
+MAX_DEST = 65535
 MAX_TIME_LEFT_MS = 24 * 3600 * 1000
 
 
 class BadRequestError(ValueError):
-    """A whole request that cannot be taken on."""
+    """A complete request whose arguments are invalid. The text is sent to the client."""
 
 
 def parse_token(raw: bytes, name: str) -> str:
-    """A short printable word."""
+    """Return a word of 1 to 128 printable ASCII characters; raise ``BadRequestError`` for anything else."""
     if not TOKEN_PATTERN.fullmatch(raw):
         raise BadRequestError(f"{name} is unreadable")
     return raw.decode("ascii")
 
 
 def parse_number(pairs: dict[bytes, bytes], name: bytes) -> int:
-    """A whole number that has to be there."""
+    """Return a mandatory whole number of 1 to 12 digits; raise ``BadRequestError`` for anything else."""
     text = pairs.get(name, b"")
     if not NUMBER_PATTERN.fullmatch(text):
         raise BadRequestError(f"{name.decode()} is no whole number")
@@ -57,7 +60,11 @@
 
 
 def parse_enqueue(args: list[bytes], now_us: int) -> tuple[ClientMessage, bytes]:
-    """The message in an ENQUEUE request; its time counts from ``now_us``."""
+    """Return the message and the body of an ENQUEUE request; raise ``BadRequestError`` if it is invalid.
+
+    The request holds the time left in milliseconds; the message's deadline is that long after ``now_us``.
+    A key that is empty or consists of zeros means that the message has no key.
+    """
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
     _, order, ref, names, body = args
@@ -72,7 +79,7 @@
     if (dest := parse_number(pairs, b"dest")) > MAX_DEST:
         raise BadRequestError("dest is out of range")
     left_ms = min(parse_number(pairs, b"d"), MAX_TIME_LEFT_MS)
-    handed = ClientMessage(
+    message = ClientMessage(
         id=parse_token(ref, "the id"),
         dest=dest,
         cls=parse_token(pairs.get(b"c", b""), "c"),
@@ -81,32 +88,36 @@
         order="" if not order.strip(b"0") else parse_token(order, "the key"),
         key=parse_token(pairs[b"k"], "k") if pairs.get(b"k") else "",
     )
-    return handed, body
+    return message, body
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection: requests in order, one answer each."""
+    """Connection of one client, whose requests are answered in order, with one reply each.
+
+    A connection is closed in two steps: the relay closes its write side and then lingers, that is, reads and
+    drops what the peer still sends, until the peer closes, stops sending or takes too long.
+    """
 
-    def __init__(self, server: Server, data: bytes = b"", by_s: float | None = None) -> None:
+    def __init__(self, server: Server, data: bytes = b"", request_due_s: float | None = None) -> None:
         self._server = server
-        self._buffer = bytearray(data)  # what came since the last whole request
-        self._min_request_bytes = 0  # bytes of it before which no request can be whole
-        self._counted_bytes = 0  # bytes of it that the server has counted
-        self._request_due_s = by_s  # the loop's time until which one has to come; None: the usual patience
+        self._buffer = bytearray(data)  # received after the last complete request
+        self._min_request_bytes = 0  # the buffer cannot hold a complete request before it has this size
+        self._counted_bytes = 0  # this connection's part of the server's unfinished_bytes
+        # Event loop time at which the first request must be complete. None: the usual timeout applies.
+        # math.inf: another process has already served this client, and no request is being received.
+        self._request_due_s = request_due_s
         self._transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None  # runs while a request is waited for
-        self.close_requested = False
-        self._close_scheduled = False  # it will be closed within some turns, if no request begins meanwhile
-        self._write_closed = False  # the sending was ended; what the peer sends on is read and dropped
-        self._received_since_check = False  # whether it sent something since it was looked at last
-        self._linger_deadline_s = math.inf  # the loop's time when it is closed whatever comes
+        self._timer: asyncio.TimerHandle | None = None  # runs while a request is awaited, and while lingering
+        self.close_requested = False  # to be closed as soon as no request is being received
+        self._close_scheduled = False  # closed within a few iterations unless a request begins until then
+        self._write_closed = False  # the connection lingers: received data is dropped
+        self._received_since_check = False  # whether the peer sent data since the last check while lingering
+        self._linger_deadline_s = math.inf  # event loop time at which lingering ends in any case
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if (
-            self._request_due_s != math.inf
-        ):  # else another process served it, and it stands between its requests
+        if self._request_due_s != math.inf:
             self._start_request_timer()
         self._server.add_connection(self)
 
@@ -116,7 +127,7 @@
         self._server.remove_connection(self)
 
     def pause_writing(self) -> None:
-        """A client that does not read its answers is not read either: buffers stay bounded."""
+        """Stop reading from a client that does not read its replies, so that buffers stay bounded."""
         if self._transport is not None and not self._transport.is_closing() and not self._write_closed:
             self._transport.pause_reading()
 
@@ -125,7 +136,7 @@
             self._transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Answer every whole request; a broken frame or an error in here ends this connection alone."""
+        """Answer every complete request; a protocol error or an exception closes only this connection."""
         assert self._transport is not None
         if self._write_closed:
             self._received_since_check = True
@@ -134,10 +145,10 @@
         try:
             self._handle_data(data)
         except resp.ProtocolError as error:
-            LOG.info("clients: a broken frame: %s", error)
+            LOG.info("clients: connection closed after a protocol error: %s", error)
             self._close_writing(EndReason.BROKEN_REQUEST, b"-ERR Protocol error\r\n")
         except Exception:
-            LOG.exception("clients: a connection broke")
+            LOG.exception("clients: connection closed after an internal error")
             self._close_writing(EndReason.INTERNAL_ERROR, b"-ERR internal error\r\n")
 
     def _handle_data(self, data: bytes) -> None:
@@ -146,7 +157,7 @@
         if len(self._buffer) >= self._min_request_bytes:
             self._answer_whole_requests(bytes(self._buffer))
         if len(self._buffer) > MAX_REQUEST_BYTES:
-            raise resp.ProtocolError("a request without end")
+            raise resp.ProtocolError("a request is too long")
         self._update_unfinished_bytes(len(self._buffer))
         if self._buffer and self._server.unfinished_bytes > self._server.max_unfinished_bytes:
             LOG.warning("clients: a request was refused: unfinished ones come to too many bytes")
@@ -157,13 +168,13 @@
         if self.close_requested and not self._buffer:
             self._schedule_close()
 
-    def _update_unfinished_bytes(self, kept: int) -> None:
-        """Tell the server how much of an unfinished request is kept here."""
-        self._server.unfinished_bytes += kept - self._counted_bytes
-        self._counted_bytes = kept
+    def _update_unfinished_bytes(self, size: int) -> None:
+        """Correct the server's total for the bytes of an unfinished request that are buffered here now."""
+        self._server.unfinished_bytes += size - self._counted_bytes
+        self._counted_bytes = size
 
     def _answer_whole_requests(self, data: bytes) -> None:
-        """Answer what is whole, and keep the rest."""
+        """Answer the complete requests at the start of the data, and buffer what follows them."""
         assert self._transport is not None
         while data and (found := resp.parse_request(data, MAX_REQUEST_BYTES)) is not None:
             words, end = found
@@ -174,13 +185,16 @@
         self._min_request_bytes = resp.min_request_size(data) if data else 0
 
     def _start_request_timer(self) -> None:
-        """A whole request has to come in time: silent peers and halves of requests hold descriptors."""
+        """Limit the wait for a complete request: silent peers and partial requests occupy descriptors."""
         loop = asyncio.get_running_loop()
-        by_s, self._request_due_s = self._request_due_s or loop.time() + REQUEST_TIMEOUT_S, None
-        self._timer = loop.call_at(by_s, self._request_timed_out)
+        due_s, self._request_due_s = self._request_due_s or loop.time() + REQUEST_TIMEOUT_S, None
+        self._timer = loop.call_at(due_s, self._request_timed_out)
 
     def handover_state(self) -> tuple[dict[str, Any], int] | None:
-        """What another process needs to serve it on, and its descriptor; None where it is being ended."""
+        """Return the state with which another process can go on serving this client, and its descriptor.
+
+        None if the connection is being closed or has replies that are not written yet.
+        """
         transport = self._transport
         if (
             transport is None
@@ -189,42 +203,45 @@
             or transport.get_write_buffer_size()
         ):
             return None
-        by_s = math.inf if self._timer is None else self._timer.when()
-        state = {"data": self._buffer.decode("latin-1"), "by_s": by_s, "ending": self.close_requested}
+        due_s = math.inf if self._timer is None else self._timer.when()
+        state = {"data": self._buffer.decode("latin-1"), "by_s": due_s, "ending": self.close_requested}
         return state, transport.get_extra_info("socket").fileno()
 
     def _request_timed_out(self) -> None:
-        # Where no request has begun, a line would be read as the answer to one that crosses it.
+        # If no request has begun, the client may be sending one at this moment and would take an error line
+        # for the reply to it.
         line = b"-ERR no whole request in time\r\n" if self._buffer else b""
         self._close_writing(EndReason.NO_REQUEST_IN_TIME, line)
 
     def _cancel_timer(self) -> None:
-        """Nothing is waited for: a served connection may stand idle between its requests."""
+        """Stop the request timer: a client that has been served may stay idle between its requests."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _close_writing(self, why: EndReason, line: bytes = b"") -> None:
-        """Tell the peer why and end the sending; what still comes is read and dropped for a moment.
+    def _close_writing(self, reason: EndReason, line: bytes = b"") -> None:
+        """Send a last line, close the write side and linger for a while.
 
-        Closing over bytes that nobody read would reset the connection, and a reset takes what was written
-        away from a peer that has not read it yet. One that neither reads nor closes must not hold it open.
+        Closing a socket with unread data resets the connection, and a reset discards the last line if the
+        peer has not read it yet. A peer that neither reads nor closes must not keep the connection open.
         """
         assert self._transport is not None
         loop = asyncio.get_running_loop()
         self._cancel_timer()
-        self._write_closed, self._buffer, self._received_since_check = True, bytearray(), False
+        self._write_closed = True
+        self._buffer = bytearray()
+        self._received_since_check = False
         self._update_unfinished_bytes(0)
-        self._server.move_to_lingering(self, why)
+        self._server.move_to_lingering(self, reason)
         self._transport.write(line)
-        with suppress(OSError):  # its peer has reset it, and the loop has not told so yet
+        with suppress(OSError):  # the peer has reset the connection, and the loop has not reported it yet
             self._transport.write_eof()
         self._transport.resume_reading()
         self._linger_deadline_s = loop.time() + MAX_LINGER_S
         self._timer = loop.call_later(LINGER_TIMEOUT_S, self._check_linger)
 
     def _check_linger(self) -> None:
-        """Close once nothing comes any more, and whatever comes after a while."""
+        """Close the connection if the peer has stopped sending, or if it has lingered for too long."""
         loop = asyncio.get_running_loop()
         if self._received_since_check and loop.time() < self._linger_deadline_s:
             self._received_since_check, self._timer = (
@@ -235,33 +252,33 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close at once, whatever is on its way."""
+        """Close immediately and discard data in either direction."""
         if self._transport is not None:
             self._transport.abort()
 
     def _schedule_close(self) -> None:
-        """End it behind what it has brought by now: a request that lies in the socket is answered first."""
+        """Close after a few event loop iterations, so that a request that has already arrived is answered."""
         if not self._close_scheduled:
             self._close_scheduled = True
             self._close_after_iterations(CLOSE_DELAY_ITERATIONS)
 
-    def _close_after_iterations(self, left: int) -> None:
-        if left:
-            asyncio.get_running_loop().call_soon(self._close_after_iterations, left - 1)
+    def _close_after_iterations(self, count: int) -> None:
+        if count:
+            asyncio.get_running_loop().call_soon(self._close_after_iterations, count - 1)
             return
         self._close_scheduled = False
-        over = self._transport is None or self._transport.is_closing() or self._write_closed
-        if not over and not self._buffer:  # else the answer to what has begun meanwhile ends it
+        closed = self._transport is None or self._transport.is_closing() or self._write_closed
+        if not closed and not self._buffer:  # a request that has begun meanwhile is answered before the close
             self._close_writing(EndReason.SHUTDOWN)
 
     def close_between_requests(self) -> None:
-        """End it between requests: now, or once the request that is coming in has its answer."""
+        """Close now, or after the reply to the request that is being received."""
         self.close_requested = True
         if not self._buffer and not self._write_closed:
             self._schedule_close()
 
     def close_for_descriptor(self) -> None:
-        """End it for its descriptor: now, and a request that is coming in is refused."""
+        """Close now to free the descriptor, and refuse a request that is being received."""
         if not self._write_closed:
             self._close_writing(EndReason.DESCRIPTOR_WANTED, self._server.busy_reply if self._buffer else b"")
 
@@ -269,33 +286,35 @@
 class Server:
     """Listens for clients and answers their requests."""
 
-    def __init__(self, driver: Driver, most: int, memory_bytes: int) -> None:
-        self._driver, self.max_clients = driver, most
-        # A burst of large requests is refused as it comes in: held together they could fill the memory.
-        self.unfinished_bytes, self.max_unfinished_bytes = 0, int(memory_bytes * UNFINISHED_MEMORY_SHARE)
-        self.clients: OrderedDict[ClientConnection, None] = OrderedDict()  # the one heard of last stands last
-        self.lingering: OrderedDict[ClientConnection, None] = (
-            OrderedDict()
-        )  # those whose sending was ended, in turn
-        self.ended_counts: Counter[EndReason] = Counter()  # connections that were ended from here
+    def __init__(self, driver: Driver, max_clients: int, memory_bytes: int) -> None:
+        self._driver = driver
+        self.max_clients = max_clients
+        # Unfinished requests are limited together: a burst of large ones could fill the memory.
+        self.unfinished_bytes = 0
+        self.max_unfinished_bytes = int(memory_bytes * UNFINISHED_MEMORY_SHARE)
+        self.clients: OrderedDict[ClientConnection, None] = OrderedDict()  # least recently active first
+        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()  # write side closed, oldest first
+        self.ended_counts: Counter[EndReason] = Counter()  # connections that the relay closed
         self.listener: Listener | None = None
         self.shutting_down = False
 
     async def start(self, sock: socket.socket) -> None:
-        """Begin to accept; the journal must have been replayed by then."""
-        a_turn = max(1, int(self.max_clients * ACCEPT_BATCH_SHARE))
-        self.listener = Listener(sock, lambda: ClientConnection(self), self._free_descriptor, a_turn)
+        """Start to accept clients. The journal must have been replayed before."""
+        accepts_per_iteration = max(1, int(self.max_clients * ACCEPT_BATCH_SHARE))
+        self.listener = Listener(
+            sock, lambda: ClientConnection(self), self._free_descriptor, accepts_per_iteration
+        )
         await self.listener.start()
 
     def export_clients(self) -> tuple[list[dict[str, Any]], list[int]]:
-        """What another process needs of each client, and their descriptors."""
-        left = [found for client in self.clients if (found := client.handover_state()) is not None]
-        return [state for state, _ in left], [fd for _, fd in left]
+        """Return the handover state of each client that another process can serve, and the descriptors."""
+        exported = [found for client in self.clients if (found := client.handover_state()) is not None]
+        return [state for state, _ in exported], [fd for _, fd in exported]
 
-    async def restore_clients(self, left: list[dict[str, Any]], socks: Iterable[socket.socket]) -> None:
-        """Serve the clients of another process on."""
+    async def restore_clients(self, states: list[dict[str, Any]], socks: Iterable[socket.socket]) -> None:
+        """Go on serving the clients that another process exported."""
         loop = asyncio.get_running_loop()
-        for state, sock in zip(left, socks, strict=True):
+        for state, sock in zip(states, socks, strict=True):
             client = ClientConnection(self, state["data"].encode("latin-1"), state["by_s"])
             client.close_requested = state["ending"]
             await loop.connect_accepted_socket(lambda client=client: client, sock)  # type: ignore[misc]
@@ -304,13 +323,14 @@
 
     @property
     def serving(self) -> bool:
-        """Whether clients are taken."""
+        """Whether the relay accepts clients and their messages."""
         return self.listener is not None and not self.shutting_down
 
     def add_connection(self, client: ClientConnection) -> None:
-        """A new connection; over the bound the one that was silent longest goes, between its requests.
+        """Register a new connection; above the limit, close the least recently active client.
 
-        Descriptors are bounded, and a client that is turned away with a request on its way would lose it.
+        Descriptors are limited. The new client is not the one to be closed: its first request may be on its
+        way and would be lost.
         """
         self.clients[client] = None
         if len(self.clients) > self.max_clients:
@@ -318,33 +338,36 @@
         if self.shutting_down:
             client.close_requested = True
 
-    def move_to_lingering(self, client: ClientConnection, why: EndReason) -> None:
-        """The sending to a client was ended; of too many such, the first one is closed at once."""
-        self.ended_counts[why] += 1
+    def move_to_lingering(self, client: ClientConnection, reason: EndReason) -> None:
+        """Register that a connection lingers; if there are too many, abort the oldest lingering one."""
+        self.ended_counts[reason] += 1
         self.clients.pop(client, None)
         self.lingering[client] = None
         if len(self.clients) + len(self.lingering) > self.max_clients * (1 + LINGERING_SHARE):
             self.lingering.popitem(last=False)[0].abort()
 
     def remove_connection(self, client: ClientConnection) -> None:
-        """A connection is over."""
+        """Forget a closed connection."""
         self.clients.pop(client, None)
         self.lingering.pop(client, None)
 
     @property
     def connection_count(self) -> int:
-        """Those with clients that are open."""
+        """Number of open connections with clients, lingering ones included."""
         return len(self.clients) + len(self.lingering)
 
     def _free_descriptor(self) -> None:
-        """No descriptor is left for a new one: one that is ending, or else that was silent longest, goes."""
+        """Close the oldest lingering connection, or else the least recently active client."""
         if self.lingering:
             self.lingering.popitem(last=False)[0].abort()
         elif self.clients:
             next(iter(self.clients)).close_for_descriptor()
 
     def close_clients(self) -> None:
-        """Close every connection between requests; new ones get answers and are closed behind them."""
+        """Refuse messages from now on, and close each connection between its requests.
+
+        Connections accepted from now on are closed after their first reply.
+        """
         self.shutting_down = True
         for client in list(self.clients):
             client.close_between_requests()
@@ -355,7 +378,7 @@
             self.listener.close()
 
     def answer(self, request: list[bytes] | None) -> bytes:
-        """The answer to one whole request; None is one that is something else."""
+        """Return the reply to one complete request; None is a RESP value that is not a request."""
         if request is None:
             return b"-ERR a request is an array of bulk strings\r\n"
         command = request[0].upper()
@@ -364,18 +387,18 @@
         if command != b"ENQUEUE":
             return b"-ERR unknown command\r\n"
         try:
-            handed, body = parse_enqueue(request, self._driver.clock())
+            message, body = parse_enqueue(request, self._driver.clock())
         except BadRequestError as error:
             return b"-ERR %s\r\n" % str(error).encode()
-        if not self._driver.knows_class(handed.cls):
+        if not self._driver.knows_class(message.cls):
             return b"-ERR unknown class\r\n"
-        refusal = RefusalReason.SHUTDOWN if self.shutting_down else self._driver.accept(handed, body)
+        refusal = RefusalReason.SHUTDOWN if self.shutting_down else self._driver.accept(message, body)
         if refusal is not None:
-            self._driver.count_refusal(handed.cls, refusal)
+            self._driver.count_refusal(message.cls, refusal)
             return self.busy_reply
         return b"+OK\r\n"
 
     @property
     def busy_reply(self) -> bytes:
-        """The refusal that tells when to come again."""
+        """The reply that refuses a message, with the milliseconds after which the client may retry."""
         return b"-BUSY %d\r\n" % self._driver.busy_retry_ms
