--- a/relay/admin.py
+++ b/relay/admin.py
@@ -1,7 +1,7 @@
-"""The operators' address: health, figures and bans over HTTP/1.1, one call to a connection.
+"""The operators' address: health, figures and bans over HTTP/1.1, one call per connection.
 
-It decides nothing and keeps nothing. Whoever connects is answered or cut off within ``PATIENCE_S``, and
-callers that never finish a call keep nobody else out.
+It makes no decisions and stores nothing. Each caller is answered or disconnected within ``CALL_TIMEOUT_S``,
+and callers that never finish a call cannot keep others out.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from relay.listeners import Listener
 
 LOG = logging.getLogger(__name__)
-CALL_TIMEOUT_S = 5.0  # s for a whole call
-LINGER_TIMEOUT_S = 0.4  # s that a caller may take to close behind its answer
-MAX_CONNECTIONS = 16  # connections at once; the one that was silent longest goes before a new one is kept out
-MAX_BODY_BYTES = 4096  # bytes of a call's body, which means nothing
+CALL_TIMEOUT_S = 5.0  # seconds from the connection to a complete call
+LINGER_TIMEOUT_S = 0.4  # seconds that a caller has to close its side after the answer
+MAX_CONNECTIONS = 16  # a connection beyond this replaces the least recently active one
+MAX_BODY_BYTES = 4096  # of a call's body, which is ignored
 HEALTH_PATH, STATS_PATH, COST_PATH = "/admin/health", "/admin/stats", "/admin/cost"
 CORDON_PATH, UNCORDON_PATH = "/admin/cordon", "/admin/uncordon"
 METHOD_BY_PATH = {
@@ -36,46 +36,46 @@
     UNCORDON_PATH: b"PUT",
 }
 FIGURE_PREFIX = "app"
-PREDECESSOR_ADDRESS_S = 3.0  # s in which the address of the process before is answered too
+PREDECESSOR_ADDRESS_S = 3.0  # seconds after a takeover in which the previous process's address is answered
 NO_COUNTS = MessageCounts(Counter(), 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A status and a line or more of plain text."""
+    """HTTP status and plain text body of an answer; ``allow`` is the value of its Allow header, if any."""
 
     status: int
     text: str
     allow: bytes = b""
 
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """The headers of the answer, behind which the connection ends."""
-        told = [
+        """Return the answer's headers. The connection is closed after each answer."""
+        headers = [
             (b"Content-Type", b"text/plain; charset=utf-8"),
             (b"Content-Length", b"%d" % len(self.text.encode())),
             (b"Connection", b"close"),
         ]
-        return told + [(b"Allow", self.allow)] * bool(self.allow)
+        return headers + [(b"Allow", self.allow)] * bool(self.allow)
 
 
-def render_figures(figures: OperatorStats, former: MessageCounts) -> str:
-    """The figures in the operators' form, one a line; those of a process before are counted on."""
-    counts = former + figures.counts
+def render_figures(stats: OperatorStats, predecessor_counts: MessageCounts) -> str:
+    """Return the figures in the operators' format, one per line, with a previous process's counts added."""
+    counts = predecessor_counts + stats.counts
 
     def lines() -> Iterator[str]:
-        for cls in figures.classes:
-            for end in MESSAGE_RESULTS:
-                yield f"requests.{cls}.{end}:{counts.ended[cls, end]}|c"
+        for cls in stats.classes:
+            for result in MESSAGE_RESULTS:
+                yield f"requests.{cls}.{result}:{counts.ended[cls, result]}|c"
         yield f"attempts:{counts.attempts}|c"
-        yield f"in_flight:{figures.in_flight}|g"
-        yield f"endpoints_known:{figures.endpoints_known}|g"
-        yield f"endpoints_excluded:{figures.endpoints_excluded}|g"
+        yield f"in_flight:{stats.in_flight}|g"
+        yield f"endpoints_known:{stats.endpoints_known}|g"
+        yield f"endpoints_excluded:{stats.endpoints_excluded}|g"
 
     return "".join(f"{FIGURE_PREFIX}.{line}\n" for line in lines())
 
 
 def parse_endpoint_id(query: str) -> str | None:
-    """The one endpoint that a call names; None where it names none, or several."""
+    """Return the value of the query parameter ``who``; None if it is missing, repeated or unreadable."""
     try:
         pairs = parse_qsl(query, strict_parsing=True, errors="strict")
     except ValueError:
@@ -85,20 +85,26 @@
 
 
 class RequestHandler:
-    """Answers whole calls."""
+    """Answers complete calls."""
 
     def __init__(
         self,
         driver: Driver,
         takes_clients: Callable[[], bool],
-        said_yes: Callable[[], None],
-        costs: Callable[[], Iterable[str]],
+        on_healthy: Callable[[], None],
+        cost_lines: Callable[[], Iterable[str]],
     ) -> None:
-        self._driver, self._takes_clients, self._on_healthy = driver, takes_clients, said_yes
-        self._cost_lines = costs  # a line for each figure of what the process uses
+        self._driver = driver
+        self._takes_clients = takes_clients
+        self._on_healthy = on_healthy  # called whenever a health call is answered with 200
+        self._cost_lines = cost_lines  # one line for each figure of the process's resource usage
 
-    def answer(self, method: bytes, target: bytes, former: MessageCounts) -> Answer:
-        """The answer to one call, at the address of a process that counted so much before."""
+    def answer(self, method: bytes, target: bytes, predecessor_counts: MessageCounts) -> Answer:
+        """Return the answer to one call.
+
+        ``predecessor_counts`` are added to the figures: at the address of a previous process these are its
+        counts at the takeover.
+        """
         path, _, query = target.decode("latin-1").partition("?")
         if (allowed := METHOD_BY_PATH.get(path)) is None:
             return Answer(404, "no such call\n")
@@ -107,7 +113,7 @@
         if path == HEALTH_PATH:
             return self._health()
         if path == STATS_PATH:
-            return Answer(200, render_figures(self._driver.stats, former))
+            return Answer(200, render_figures(self._driver.stats, predecessor_counts))
         if path == COST_PATH:
             return Answer(200, "".join(f"{FIGURE_PREFIX}.{line}\n" for line in self._cost_lines()))
         return self._ban(parse_endpoint_id(query), path == CORDON_PATH)
@@ -119,12 +125,13 @@
         return Answer(200, "takes clients\n")
 
     def _ban(self, host: str | None, banned: bool) -> Answer:
+        """Ban an endpoint, or lift its ban if ``banned`` is false."""
         if not host:
             return Answer(400, "the call names one endpoint as who=ID\n")
         try:
             known = self._driver.set_banned(host, banned)
         except JournalFullError as error:
-            LOG.error("operators: a ban was not kept: %s", error)
+            LOG.error("operators: a ban was not changed: %s", error)
             return Answer(503, "the ban could not be kept\n")
         if not known:
             return Answer(404, "no such endpoint was ever listed\n")
@@ -132,13 +139,14 @@
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One operator's connection and its one call."""
+    """Connection of one operator, with its one call."""
 
-    def __init__(self, admin: AdminServer, former: MessageCounts) -> None:
-        self._admin, self._predecessor_counts = admin, former
+    def __init__(self, admin: AdminServer, predecessor_counts: MessageCounts) -> None:
+        self._admin = admin
+        self._predecessor_counts = predecessor_counts
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
-        self._body_bytes = 0  # bytes of its body that came
+        self._body_bytes = 0  # received so far
         self._answered = False
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -159,12 +167,12 @@
         self._receive(data)
 
     def eof_received(self) -> None:
-        """A caller that ends its sending before its call is whole is told so."""
+        """Answer a caller that closes its write side before its call is complete with an error."""
         self._receive(b"")
 
     def _receive(self, data: bytes) -> None:
-        """Answer once the call is whole; an error in here ends this connection alone."""
-        if self._answered:  # what comes behind the call is read and dropped
+        """Answer once the call is complete; an exception closes only this connection."""
+        if self._answered:  # data after the call is read and dropped
             return
         try:
             self._http.receive_data(data)
@@ -172,7 +180,7 @@
         except h11.RemoteProtocolError as error:
             self._send_answer(Answer(error.error_status_hint, "the call cannot be read\n"))
         except Exception:
-            LOG.exception("operators: a call broke")
+            LOG.exception("operators: a call failed with an internal error")
             self._send_answer(Answer(500, "internal error\n"))
 
     def _read_events(self) -> None:
@@ -182,7 +190,7 @@
             elif isinstance(event, h11.Data):
                 self._body_bytes += len(event.data)
             elif not isinstance(event, h11.EndOfMessage):
-                return  # the caller left
+                return  # the caller has closed the connection
             if self._body_bytes > MAX_BODY_BYTES:
                 return self._send_answer(Answer(413, "the body is too long\n"))
             if self._request and (
@@ -194,7 +202,11 @@
         self._send_answer(Answer(408, "no whole call in time\n"))
 
     def _send_answer(self, answer: Answer) -> None:
-        """Answer and end the sending; a close over unread bytes would reset, and take the answer away."""
+        """Send the answer and close the write side; the connection is aborted soon after.
+
+        It is not closed at once: closing a socket with unread data resets the connection, and the caller
+        would lose the answer.
+        """
         assert self._transport is not None
         self._answered = True
         if self._timer is not None:
@@ -203,13 +215,13 @@
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return self._transport.abort()
         head = h11.Response(status_code=answer.status, headers=answer.headers())
-        bare = self._request is not None and self._request.method == b"HEAD"
-        for event in (head, h11.Data(data=b"" if bare else answer.text.encode()), h11.EndOfMessage()):
+        without_body = self._request is not None and self._request.method == b"HEAD"
+        for event in (head, h11.Data(data=b"" if without_body else answer.text.encode()), h11.EndOfMessage()):
             self._transport.write(self._http.send(event) or b"")
         self._transport.write_eof()
 
     def abort(self) -> None:
-        """Cut the caller off."""
+        """Close the connection immediately, answered or not."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -218,37 +230,38 @@
     """Listens for operators."""
 
     def __init__(self) -> None:
-        self.handler: RequestHandler | None = None  # until the relay is there every call gets a no
-        self.connections: OrderedDict[OperatorConnection, None] = (
-            OrderedDict()
-        )  # the one heard of last stands last
-        self.listeners: list[Listener] = []  # the own one first
-
-    async def start(self, sock: socket.socket, former: MessageCounts = NO_COUNTS) -> None:
-        """Begin to answer."""
-        self.listeners.append(Listener(sock, lambda: OperatorConnection(self, former)))
+        self.handler: RequestHandler | None = (
+            None  # None until the relay is ready: calls are answered with 503
+        )
+        # Least recently active first.
+        self.connections: OrderedDict[OperatorConnection, None] = OrderedDict()
+        self.listeners: list[Listener] = []  # this process's own address first
+
+    async def start(self, sock: socket.socket, predecessor_counts: MessageCounts = NO_COUNTS) -> None:
+        """Start to answer calls on a listening socket."""
+        self.listeners.append(Listener(sock, lambda: OperatorConnection(self, predecessor_counts)))
         await self.listeners[-1].start()
 
-    async def take_over(self, sock: socket.socket, former: MessageCounts) -> None:
-        """Answer for a while at the address of the process before, as it would have."""
-        await self.start(sock, former)
+    async def take_over(self, sock: socket.socket, predecessor_counts: MessageCounts) -> None:
+        """Answer for a limited time at the previous process's address, and add its counts to the figures."""
+        await self.start(sock, predecessor_counts)
         asyncio.get_running_loop().call_later(PREDECESSOR_ADDRESS_S, self.listeners[-1].close)
 
-    def answer(self, request: h11.Request, former: MessageCounts) -> Answer:
-        """The answer to one call."""
+    def answer(self, request: h11.Request, predecessor_counts: MessageCounts) -> Answer:
+        """Return the answer to one call."""
         if self.handler is None:
             return Answer(503, "starting\n")
-        return self.handler.answer(request.method, request.target, former)
+        return self.handler.answer(request.method, request.target, predecessor_counts)
 
-    def add_connection(self, caller: OperatorConnection) -> None:
-        """A new connection."""
-        self.connections[caller] = None
+    def add_connection(self, connection: OperatorConnection) -> None:
+        """Register a new connection; above the limit, abort the least recently active one."""
+        self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).abort()
 
     def close(self) -> None:
-        """Stop listening and cut off whoever is there."""
+        """Stop listening and abort all connections."""
         for listener in self.listeners:
             listener.close()
-        for caller in list(self.connections):
-            caller.abort()
+        for connection in list(self.connections):
+            connection.abort()
