--- a/relay/config.py
+++ b/relay/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told: environment and JSON file to one typed value."""
+"""Configuration of a relay: reads environment variables and a JSON file into one typed value."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from relay.endpoint_list import DirectoryUpdate, parse_list
 from relay.http import Address
 
-DEFAULT_MEMORY_MB = 32  # of any deployment: what a relay that is told no limit keeps to
-MIN_SOCKETS = 4  # half are for clients, a quarter for idle connections to endpoints
+DEFAULT_MEMORY_MB = 32  # the smallest memory of any deployment, so a relay without a limit fits everywhere
+MIN_SOCKETS = 4  # half of them are for clients, a quarter for idle connections to endpoints
 T = TypeVar("T")
 
 
 class ConfigError(ValueError):
-    """The deployment told something that cannot be used."""
+    """The configuration cannot be used. The text starts with the key if it is about the value of one key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that one relay runs by."""
+    """Complete configuration of one relay."""
 
     name: str
     listen: Address
@@ -38,13 +38,15 @@
     max_sockets: int
     memory_bytes: int
     initial_hosts: DirectoryUpdate
-    admin: Address | None = None  # where operators call; None: nowhere
-    passed_socket: int | None = None  # the descriptor on which clients come; None: listen by oneself
-    shared_dir: Path = Path()  # for what processes of this relay share and need not outlast them
+    admin: Address | None = None  # the operators' address; None: operators are not served
+    passed_socket: int | None = (
+        None  # descriptor of the clients' listening socket; None: listen at ``listen``
+    )
+    shared_dir: Path = Path()  # for files that processes of this relay share and that may be lost after them
 
 
 def parse_address(text: str) -> Address:
-    """``host:port`` as the pair that sockets take."""
+    """Return ``host:port`` as the pair that sockets take; raise ``ConfigError`` for anything else."""
     host, sign, port = text.rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"not an address: {text!r}")
@@ -52,17 +54,17 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path=value pairs that the adapter's settings reader takes.
+    """Yield nested JSON as the (path, value) pairs that the settings reader of the simulator adapter takes.
 
-    Both come from one object, so one reader serves the simulator and the sockets alike.
+    The simulator's settings are flattened from the same object, so one reader serves both.
     """
     if isinstance(value, dict):
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
-        for at, item in enumerate(value):
-            yield from flatten(item, f"{path}.{at}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
     elif isinstance(value, list):
         yield path, ",".join(format_value(item) for item in value)
     elif value is not None:
@@ -70,7 +72,7 @@
 
 
 def format_value(value: Any) -> str:
-    """One plain value in the wire's spelling."""
+    """Return a scalar as the simulator's protocol spells it."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
@@ -79,28 +81,31 @@
 
 
 def read_value(key: str, read: Callable[[Any], T], value: Any) -> T:
-    """A value by its reader; ``ConfigError`` names the key of one that cannot be read."""
+    """Return a value converted by ``read``; raise ``ConfigError`` with the key if it cannot be converted."""
     try:
         return read(value)
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ConfigError(f"{key}: {error}") from None
 
 
-def read_limit(limits: Mapping[str, Any], key: str, usual: float, least: float) -> float:
-    """A limit that the deployment sets; ``ConfigError`` names the key of one that cannot be kept to."""
-    value = read_value(f"limits.{key}", float, limits.get(key, usual))
-    if not least <= value < math.inf:
-        raise ConfigError(f"limits.{key}: {value:g} cannot be kept to, the least is {least:g}")
+def read_limit(limits: Mapping[str, Any], key: str, default: float, minimum: float) -> float:
+    """Return a limit or its default; raise ``ConfigError`` with the key if it is too low or not finite."""
+    value = read_value(f"limits.{key}", float, limits.get(key, default))
+    if not minimum <= value < math.inf:
+        raise ConfigError(f"limits.{key}: {value:g} is not a finite number of at least {minimum:g}")
     return value
 
 
 def parse_seed(value: Any) -> int:
-    """The seed is hexadecimal text; a plain number serves too."""
+    """Return the seed, given as hexadecimal text or as a number."""
     return int(value, 16) if isinstance(value, str) else int(value)
 
 
 def read_discovery_address(environ: Mapping[str, str]) -> Address:
-    """Where discovery is by the file as it stands now; the environment is older than a changed file."""
+    """Return the address of discovery from the configuration file as it is now; raise ``ConfigError``.
+
+    ``$ROUTER_DISCOVERY`` is ignored: it was set at the start and may be older than the file.
+    """
     try:
         return parse_address(json.loads(Path(environ["ROUTER_CONFIG"]).read_bytes())["discovery"])
     except KeyError as error:
@@ -110,7 +115,10 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read ``$ROUTER_CONFIG``; where a variable of its own is set, that one counts."""
+    """Read the file ``$ROUTER_CONFIG``, and the environment variables that take precedence over its keys.
+
+    Raises ``ConfigError`` if something is missing or invalid.
+    """
     try:
         raw = json.loads(Path(environ["ROUTER_CONFIG"]).read_bytes())
         pairs = dict(flatten(raw["settings"]))
@@ -123,7 +131,7 @@
             ),
             state_dir=Path(environ["ROUTER_STATE"]),
             seed=read_value("seed", parse_seed, raw.get("seed", 0)),
-            # On sockets the directory answers only when asked, whatever the simulator's site says.
+            # The real directory answers only when it is asked, whatever is configured for the simulator.
             settings=replace(parse_settings(pairs), must_ask=True),
             connect_timeout_us=parse_int(pairs, "allowed.connect_timeout_us", 1_000_000),
             disk_bytes=int(read_limit(limits, "disk_mb", 3, 0.01) * 1_000_000),
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -54,11 +54,11 @@
 @pytest.mark.parametrize(
     ("path", "value", "reason"),
     [
-        ("limits.sockets", 3, "limits.sockets: 3 cannot be kept to, the least is 4"),
+        ("limits.sockets", 3, "limits.sockets: 3 is not a finite number of at least 4"),
         ("limits.sockets", "many", "limits.sockets: could not convert"),
-        ("limits.disk_mb", 0, "limits.disk_mb: 0 cannot be kept to"),
-        ("limits.memory_mb", -1, "limits.memory_mb: -1 cannot be kept to"),
-        ("limits.memory_mb", float("nan"), "limits.memory_mb: nan cannot be kept to"),
+        ("limits.disk_mb", 0, "limits.disk_mb: 0 is not a finite number of at least 0.01"),
+        ("limits.memory_mb", -1, "limits.memory_mb: -1 is not a finite number of at least 1"),
+        ("limits.memory_mb", float("nan"), "limits.memory_mb: nan is not a finite number of at least 1"),
         ("listen", "nowhere", "listen: not an address: 'nowhere'"),
         ("discovery", 7, "discovery: "),
         ("seed", "zz", "seed: "),
