--- a/relay/resource_usage.py
+++ b/relay/resource_usage.py
@@ -1,7 +1,5 @@
 """Resource usage of this process, for operators and the log.
 
-The figures cover processor time, memory, descriptors, calls, clients, messages and journal bytes.
-
 The relay's parts count for themselves and are asked for their counters when figures are read. Everything else
 comes from the system's accounting; figures that a platform does not provide are left out. If operators can
 ask, the event loop's lag and the start of a window are sampled once a second.
