--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Parting from clients whose frames are broken, with the server in the test's own process."""
+"""How client connections are closed and limited; most tests run the server in the test's own process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def connected(server: clients.Server) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection to the server."""
+    """Open a connection to the server."""
     listener = await asyncio.get_running_loop().create_server(
         lambda: clients.ClientConnection(server), "127.0.0.1"
     )
@@ -34,16 +34,16 @@
     return reader, writer
 
 
-async def parted(server: clients.Server) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection on which a broken frame was answered and the server has ended its sending."""
+async def connected_and_refused(server: clients.Server) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a connection whose invalid request was answered, and whose write side the server has closed."""
     reader, writer = await connected(server)
     writer.write(BROKEN)
     assert (await soon(reader.read())).startswith(b"-ERR")
     return reader, writer
 
 
-async def gone(server: clients.Server) -> None:
-    """Wait until the server has let go of every connection."""
+async def all_closed(server: clients.Server) -> None:
+    """Wait until the server has closed every connection."""
     async with asyncio.timeout(BOUND_S / 2):
         while server.connection_count:
             await asyncio.sleep(0)
@@ -51,33 +51,35 @@
 
 @pytest.fixture
 def server() -> clients.Server:
-    """A server whose driver is never asked: no request here can be read."""
+    """A server without a driver: no request in the tests that use it gets that far."""
     return clients.Server(cast(Driver, None), 10, 32_000_000)
 
 
-async def test_what_comes_behind_a_broken_frame_resets_nothing(
+async def test_data_after_an_invalid_request_does_not_reset_the_connection(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A reset takes the error line away from a peer that has not read it yet."""
+    """A reset would discard the error line of a peer that has not read it yet."""
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", BOUND_S)
-    _reader, writer = await parted(server)
+    _reader, writer = await connected_and_refused(server)
     writer.write(b"the rest")
     assert writer.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     writer.close()
-    await gone(server)  # as soon as the peer closes
+    await all_closed(server)  # without waiting for the linger timeout
 
 
-async def test_a_peer_that_stays_is_cut_off(server: clients.Server, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_peer_that_does_not_close_is_disconnected(
+    server: clients.Server, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.0)
-    _reader, writer = await parted(server)
-    await gone(server)
+    _reader, writer = await connected_and_refused(server)
+    await all_closed(server)
     writer.close()
 
 
-async def test_a_flood_behind_a_broken_frame_is_read_until_it_stops(
+async def test_data_after_an_invalid_request_is_read_until_the_peer_stops(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A peer that sends all it has before it reads gets its line, however long that takes within bounds."""
+    """A peer that sends everything before it reads must still get its error line, within the time limit."""
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.1)
     loop = asyncio.get_running_loop()
     reader, writer = await connected(server)
@@ -87,9 +89,11 @@
         writer.write(bytes(4096))
         await writer.drain()
         await asyncio.sleep(0)
-    assert (await soon(reader.read())).startswith(b"-ERR"), "and the end behind it, with no reset"
+    assert (await soon(reader.read())).startswith(b"-ERR"), (
+        "the connection ends after the line, without a reset"
+    )
     writer.close()
-    await gone(server)
+    await all_closed(server)
 
 
 async def test_a_flood_without_end_is_cut_off(
@@ -97,7 +101,7 @@
 ) -> None:
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(clients, "MAX_LINGER_S", 0.3)
-    _reader, writer = await parted(server)
+    _reader, writer = await connected_and_refused(server)
 
     async def flood() -> None:
         while True:
@@ -111,70 +115,70 @@
 
 @asynccontextmanager
 async def accepted(server: clients.Server) -> AsyncIterator[tuple[clients.ClientConnection, socket.socket]]:
-    """A client as the server has it, and the peer's socket, from which nothing reads by itself."""
-    loop, clients_of = asyncio.get_running_loop(), list[clients.ClientConnection]()
+    """Yield a client as the server holds it and the peer's socket, which nothing else reads from."""
+    loop, made = asyncio.get_running_loop(), list[clients.ClientConnection]()
 
-    def made() -> clients.ClientConnection:
-        clients_of.append(client := clients.ClientConnection(server))
+    def make_client() -> clients.ClientConnection:
+        made.append(client := clients.ClientConnection(server))
         return client
 
-    listener = await loop.create_server(made, "127.0.0.1")
+    listener = await loop.create_server(make_client, "127.0.0.1")
     with socket.socket() as peer:
         peer.setblocking(False)
         await loop.sock_connect(peer, listener.sockets[0].getsockname())
         while not server.clients:
             await asyncio.sleep(0)
         listener.close()
-        yield clients_of[0], peer
+        yield made[0], peer
 
 
 @pytest.mark.parametrize("more", [b"", packed(b"PING")[:9]], ids=["whole", "and a part of the next"])
-async def test_a_request_that_lies_in_the_socket_when_its_connection_is_ended_is_answered(
+async def test_an_unread_request_is_answered_before_its_connection_is_closed(
     server: clients.Server, more: bytes
 ) -> None:
-    """Closed over bytes that nobody read, the connection is reset, and what was just written goes with it."""
+    """Closing a socket with unread data resets the connection and discards the replies written last."""
     loop = asyncio.get_running_loop()
     async with accepted(server) as (client, peer):
         await loop.sock_sendall(peer, packed(b"PING"))
         assert await soon(loop.sock_recv(peer, 64)) == b"+PONG\r\n"
-        peer.send(packed(b"PING") + more)  # it is there, and the loop had no turn to read it
+        peer.send(packed(b"PING") + more)  # it has arrived, and the event loop has not read it yet
         client.close_between_requests()
         assert await soon(loop.sock_recv(peer, 64)) == b"+PONG\r\n"
         if more:
             peer.send(packed(b"PING")[len(more) :])
             assert await soon(loop.sock_recv(peer, 64)) == b"+PONG\r\n"
-        assert await soon(loop.sock_recv(peer, 64)) == b"", "an end, and no reset"
+        assert await soon(loop.sock_recv(peer, 64)) == b"", "the connection ends without a reset"
         peer.close()
-        await gone(server)
+        await all_closed(server)
 
 
-@pytest.mark.parametrize("how", ["end", "give_way"])
-async def test_a_connection_that_its_peer_has_reset_unseen_is_ended_without_a_word(
+@pytest.mark.parametrize("how", ["between requests", "for its descriptor"])
+async def test_closing_a_connection_that_the_peer_has_just_reset_raises_nothing(
     server: clients.Server, how: str
 ) -> None:
-    """Its sending cannot be ended any more: that must not break off what else was to be done."""
+    """Closing the write side fails with OSError then; the rest of the clean-up must still run."""
     loop, errors = asyncio.get_running_loop(), list[object]()
     loop.set_exception_handler(lambda _loop, context: errors.append(context))
     async with accepted(server) as (client, peer):
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.close()  # a reset, and the loop had no turn to read it
-        if how == "end":
+        peer.close()  # a reset, which the event loop has not read yet
+        if how == "between requests":
             client._close_after_iterations(0)
         else:
             client.close_for_descriptor()
         assert client in server.lingering
-        await gone(server)
+        await all_closed(server)
     assert errors == []
 
 
-async def test_a_request_that_came_right_before_a_process_leaves_is_answered(
+async def test_a_request_that_arrives_right_before_the_process_exits_is_answered(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On a connection that nobody has accepted yet: with the process it would be reset."""
+    """It arrives on a connection that is not accepted yet, which the exit of the process would reset."""
     with socket.create_server(("127.0.0.1", 0)) as sock, socket.socket() as peer:
 
         async def until(_last_s: float, _done: object, _first_s: float) -> None:
-            if server.shutting_down:  # the last wait of the shutdown
+            if server.shutting_down:  # during the last wait of the shutdown
                 peer.connect(sock.getsockname())
                 peer.send(packed(b"PING"))
 
@@ -187,14 +191,14 @@
         service = SimpleNamespace(driver=driver, server=server, offer=offer)
         await relay_main.shut_down(terminated, cast(relay_main.Service, service))
         peer.settimeout(BOUND_S)
-        assert peer.recv(64) == b"+PONG\r\n", "the loop has no turn any more"
+        assert peer.recv(64) == b"+PONG\r\n", "the event loop does not run here any more"
         server.close()
 
 
 async def test_what_is_read_behind_the_end_of_sending_is_not_taken_on(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its client sends it once more on a new connection: taken on here too, it would run twice."""
+    """The client gets no reply and repeats it on a new connection: accepted here too, it would run twice."""
     asked = list[list[bytes] | None]()
 
     def answer(words: list[bytes] | None) -> bytes:
@@ -212,11 +216,11 @@
         assert asked == []
         assert client in server.lingering
         peer.close()
-        await gone(server)
+        await all_closed(server)
 
 
-async def test_many_connections_at_once_stay_within_the_bound(server: clients.Server) -> None:
-    """Each of a burst makes room for itself: those that came up in the same turn of the loop are as many."""
+async def test_a_burst_of_connections_stays_within_the_limit(server: clients.Server) -> None:
+    """Each new connection above the limit closes an older one, also within one event loop iteration."""
     loop, peers = asyncio.get_running_loop(), list[socket.socket]()
     lefts = []
     for _ in range(8 * server.max_clients):
@@ -230,18 +234,18 @@
     assert server.connection_count <= server.max_clients * (1 + clients.LINGERING_SHARE)
     for peer in peers:
         peer.close()
-    await gone(server)
+    await all_closed(server)
 
 
-async def test_resting_clients_leave_descriptors_for_the_list_and_for_calls(world: World) -> None:
-    """They come in one burst while discovery is down, and each has had an answer: none may be timed out."""
+async def test_idle_clients_leave_descriptors_for_the_endpoint_list_and_for_calls(world: World) -> None:
+    """They connect in one burst while discovery is down; each was answered, so no timeout closes them."""
     world.sockets = 64
     await world.add("h1")
     await world.run()
     await world.directory.call(0)
     world.directory.lose()
     assert world.process is not None
-    world.process.send_signal(signal.SIGSTOP)  # all of them wait to be accepted in the same turn
+    world.process.send_signal(signal.SIGSTOP)  # so that all of them wait in the backlog
     crowd = []
     for _ in range(200):
         reader, writer = await asyncio.open_connection(world.address, world.port)
@@ -255,20 +259,22 @@
     world.directory.down = False
     assert await client.hand_in("m1", dest=2) == b"+OK"
     assert (await late.call(0)).ids == ["m1"]
-    assert len(open_now(world.process.pid)) <= world.sockets * 7 // 8, "calls and lists find some at any time"
+    assert len(open_now(world.process.pid)) <= world.sockets * 7 // 8, (
+        "descriptors remain for calls and endpoint lists"
+    )
     for _reader, writer in crowd:
         writer.close()
 
 
-async def test_a_large_request_in_single_bytes_is_not_read_anew_with_each(
+async def test_a_large_request_in_single_bytes_is_not_parsed_again_with_each(
     server: clients.Server, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The work for each byte stays the same however long the request becomes."""
-    looked, request_at = [0], resp.parse_request
+    """The work for each byte must not grow with the length of the request."""
+    calls, parse_request = [0], resp.parse_request
 
-    def counted(data: bytes, most: int) -> tuple[list[bytes] | None, int] | None:
-        looked[0] += 1
-        return request_at(data, most)
+    def counted(data: bytes, max_bulk_bytes: int) -> tuple[list[bytes] | None, int] | None:
+        calls[0] += 1
+        return parse_request(data, max_bulk_bytes)
 
     monkeypatch.setattr(resp, "parse_request", counted)
     monkeypatch.setattr(server, "answer", lambda words: b"+%d\r\n" % len(words[1]))
@@ -278,14 +284,14 @@
     data = packed(b"ENQUEUE", bytes(60_000))
     for at in range(len(data)):
         client.data_received(data[at : at + 1])
-    assert looked[0] <= len(data) - 60_000
+    assert calls[0] <= len(data) - 60_000
     assert right.recv(100) == b"+60000\r\n"
     client.close_between_requests()
     right.close()
 
 
 async def test_a_burst_of_large_requests_is_refused_before_it_fills_the_memory(world: World) -> None:
-    """Three hundred halves of large requests would come to more than half of the least memory."""
+    """Two hundred unfinished requests of 60 kB would take more than a third of a memory limit of 32 MB."""
     world.memory_mb = 32
     await world.add("h1")
     client = await world.run()
@@ -304,10 +310,10 @@
     status = Path(f"/proc/{world.process.pid}/status").read_text()
     most_kb = int(status.partition("VmHWM:")[2].split()[0])
     assert most_kb * 1024 < 32_000_000
-    assert await client.hand_in("m1") == b"+OK"  # and what is small goes on
+    assert await client.hand_in("m1") == b"+OK"  # small requests are still accepted
 
 
-async def test_bodies_that_are_held_are_bounded_by_the_memory(world: World) -> None:
+async def test_the_bodies_of_held_messages_are_limited_by_the_memory(world: World) -> None:
     world.memory_mb, world.disk_mb = 4, 30.0
     await world.add("h1", silent)
     client = await world.run()
