--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""Requests as bytes: what is one, what is none, and where it ends."""
+"""The RESP2 parser: which bytes are a request, and where it ends."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from relay.resp import ProtocolError, min_request_size, parse_request
 from standins.scripted import packed
 
-MOST = 1000
+MAX_BULK_BYTES = 1000
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=16), st.binary(max_size=20))
-def test_a_request_is_read_whole_and_no_further(words: list[bytes], rest: bytes) -> None:
+def test_a_request_is_parsed_only_when_complete_and_not_beyond_its_end(
+    words: list[bytes], rest: bytes
+) -> None:
     data = packed(*words)
-    assert parse_request(data + rest, MOST) == (words, len(data))
-    assert all(parse_request(data[:size], MOST) is None for size in range(len(data)))
+    assert parse_request(data + rest, MAX_BULK_BYTES) == (words, len(data))
+    assert all(parse_request(data[:size], MAX_BULK_BYTES) is None for size in range(len(data)))
 
 
 @pytest.mark.parametrize(
@@ -38,9 +40,9 @@
         b"+" + b"y" * 64,
     ],
 )
-def test_bytes_that_are_no_resp_are_told(data: bytes) -> None:
+def test_bytes_that_are_not_resp2_raise_a_protocol_error(data: bytes) -> None:
     with pytest.raises(ProtocolError):
-        parse_request(data, MOST)
+        parse_request(data, MAX_BULK_BYTES)
 
 
 @pytest.mark.parametrize(
@@ -57,32 +59,33 @@
         b"*2\r\n*1\r\n$1\r\na\r\n$1\r\nb\r\n",
     ],
 )
-def test_other_values_are_no_requests_and_have_an_end(data: bytes) -> None:
-    assert parse_request(data + b"*1\r\n", MOST) == (None, len(data))
+def test_other_values_are_not_requests_but_their_end_is_found(data: bytes) -> None:
+    assert parse_request(data + b"*1\r\n", MAX_BULK_BYTES) == (None, len(data))
 
 
 @profile(deadline=None, derandomize=True, database=None)
 @given(st.lists(st.binary(max_size=200), min_size=1, max_size=6))
-def test_looking_only_at_the_sizes_that_are_told_misses_nothing(words: list[bytes]) -> None:
-    """Byte by byte: found with the same byte as before, and nothing is looked at for the bytes of a value."""
+def test_parsing_only_from_the_minimum_size_on_finds_the_same_end(words: list[bytes]) -> None:
+    """The data grows byte by byte; no byte inside a value may cause another attempt to parse."""
     data = packed(*words)
-    looks, least = 0, 0
+    attempts = 0
+    min_size = 0
     for size in range(1, len(data) + 1):
-        if size < least:
+        if size < min_size:
             continue
-        looks += 1
-        if parse_request(data[:size], MOST) is not None:
+        attempts += 1
+        if parse_request(data[:size], MAX_BULK_BYTES) is not None:
             assert size == len(data)
             break
-        least = min_request_size(data[:size])
-        assert least > size
+        min_size = min_request_size(data[:size])
+        assert min_size > size
     else:
-        raise AssertionError("missed")
-    assert looks <= len(data) - sum(map(len, words))
+        raise AssertionError("the request was not found")
+    assert attempts <= len(data) - sum(map(len, words))
 
 
-def test_a_wrong_end_is_found_with_its_first_byte() -> None:
-    begun = b"*1\r\n$500\r\n" + bytes(400)
-    least = min_request_size(begun)
+def test_a_value_with_a_wrong_end_is_rejected_at_the_first_wrong_byte() -> None:
+    beginning = b"*1\r\n$500\r\n" + bytes(400)
+    min_size = min_request_size(beginning)
     with pytest.raises(ProtocolError):
-        parse_request(begun + bytes(least - len(begun)), MOST)
+        parse_request(beginning + bytes(min_size - len(beginning)), MAX_BULK_BYTES)
