--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""Descriptors that run out, and connections of every bad kind by the thousand."""
+"""Running out of descriptors, and thousands of misbehaving connections."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 from standins.scripted import World, enqueue, packed, soon
 from tests.test_endpoint_calls import Calls, serving
 
-KIND, AT_ONCE = 1000, 100  # connections of a bad kind, and of these at the same time
+BAD_CONNECTIONS = 1000  # of each kind
+AT_ONCE = 100  # of them open at the same time
 
 
 def open_now(pid: int) -> set[int]:
-    """A process's descriptors."""
+    """Return the open descriptors of a process."""
     return {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
 
 
 @asynccontextmanager
 async def no_descriptor_left(pid: int) -> AsyncIterator[None]:
-    """The process may open nothing more for a while."""
+    """Lower the process's limit so that it cannot open another descriptor."""
     before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
     free = next(number for number in range(4096) if number not in open_now(pid))
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (free, before[1]))
@@ -42,7 +43,7 @@
         resource.prlimit(pid, resource.RLIMIT_NOFILE, before)
 
 
-async def test_without_descriptors_it_serves_on_closes_who_comes_and_recovers(world: World) -> None:
+async def test_without_descriptors_clients_are_served_new_ones_closed_and_it_recovers(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1")
@@ -51,14 +52,14 @@
     async with no_descriptor_left(world.process.pid):
         newcomers = [await asyncio.open_connection(world.address, world.port) for _ in range(20)]
         for reader, writer in newcomers:
-            assert await soon(reader.read()) == b""  # told at once, and nothing of theirs was read
+            assert await soon(reader.read()) == b""  # closed at once, without reading a request
             writer.close()
     client = await world.client()
     assert await client.hand_in("m2") == b"+OK"
     assert (await host.call(1)).ids == ["m2"]
 
 
-async def test_the_one_who_is_silent_longest_makes_room(world: World) -> None:
+async def test_without_descriptors_the_least_recently_active_client_is_closed(world: World) -> None:
     oldest = await world.run()
     second = await world.client()
     assert await second.command(b"PING") == b"+PONG"
@@ -71,8 +72,11 @@
 
 
 async def test_a_listener_without_descriptors_does_not_spin(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One more try and the closing of who waits, then rest: asyncio's own asks 512 times at each turn."""
-    tries, made = [0], list[str]()
+    """After one failed accept and one more to close what is pending, it pauses.
+
+    asyncio's own server would call accept 512 times in each event loop iteration.
+    """
+    tries, freed = [0], list[str]()
 
     class Full(socket.socket):
         def accept(self) -> Any:
@@ -82,17 +86,17 @@
     monkeypatch.setattr(listeners, "ACCEPT_PAUSE_S", 3600.0)
     sock = Full()
     sock.bind(("127.0.0.1", 0))
-    listener = Listener(sock, asyncio.Protocol, lambda: made.append("room"))
+    listener = Listener(sock, asyncio.Protocol, lambda: freed.append("called"))
     await listener.start()
     with socket.create_connection(sock.getsockname()):
         for _ in range(200):
             await asyncio.sleep(0)
         assert tries[0] == 2
-        assert made == ["room"]
+        assert freed == ["called"]
     listener.close()
 
 
-async def test_a_call_without_descriptors_takes_that_of_an_idle_connection(
+async def test_a_call_without_a_descriptor_closes_an_idle_connection_for_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     host = await serving()
@@ -108,17 +112,18 @@
         return await opened(address)
 
     monkeypatch.setattr(Connection, "open", short)
-    monkeypatch.setattr(calls.hosts._idle_pool, "take", lambda _host: None)  # another host's is the idle one
+    # As if the idle connection were another host's.
+    monkeypatch.setattr(calls.hosts._idle_pool, "take", lambda _host: None)
     calls.send("m2")
     assert (await calls.outcome("m2")).verdict is Verdict.OK
     assert calls.hosts.connection_counts["gave way"] == 1
     host.stop()
 
 
-async def test_a_call_that_finds_no_descriptor_says_nothing_of_its_host(
+async def test_a_call_without_a_descriptor_is_not_held_against_its_host(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Told as a failed connect, it would slow down calls to hosts that are well."""
+    """Reported as a failed connect, it would slow down calls to healthy hosts."""
 
     async def short(_address: tuple[str, int]) -> Connection:
         raise OSError(errno.EMFILE, "none left")
@@ -126,20 +131,20 @@
     monkeypatch.setattr(Connection, "open", short)
     calls = Calls(1)
     calls.send("m1")
-    told = await calls.outcome("m1")
-    assert told.verdict is Verdict.NOT_SENT
-    assert told.wait_us > 0
+    outcome = await calls.outcome("m1")
+    assert outcome.verdict is Verdict.NOT_SENT
+    assert outcome.wait_us > 0
 
 
 async def silent_close(world: World) -> None:
-    """Nothing is sent."""
+    """Connect and close without sending anything."""
     _reader, writer = await asyncio.open_connection(world.address, world.port)
     writer.close()
     await writer.wait_closed()
 
 
-async def half(world: World) -> None:
-    """Half a request, then the end."""
+async def half_request(world: World) -> None:
+    """Send half a request, then close the write side."""
     reader, writer = await asyncio.open_connection(world.address, world.port)
     writer.write(packed(*enqueue("half"))[:40])
     writer.write_eof()
@@ -147,8 +152,8 @@
     writer.close()
 
 
-async def broken(world: World) -> None:
-    """A frame that is none; the relay answers and parts."""
+async def invalid_request(world: World) -> None:
+    """Send bytes that are not RESP2: the relay answers with an error and closes."""
     reader, writer = await asyncio.open_connection(world.address, world.port)
     writer.write(b"nonsense\r\n")
     assert (await soon(reader.read())).startswith(b"-ERR")
@@ -156,7 +161,7 @@
 
 
 async def reset(world: World) -> None:
-    """A reset in the middle of a request."""
+    """Reset the connection in the middle of a request."""
     _reader, writer = await asyncio.open_connection(world.address, world.port)
     writer.write(packed(*enqueue("half"))[:40])
     sock = writer.get_extra_info("socket")
@@ -164,7 +169,7 @@
     writer.transport.abort()
 
 
-@pytest.mark.parametrize("kind", [silent_close, half, broken, reset])
+@pytest.mark.parametrize("kind", [silent_close, half_request, invalid_request, reset])
 async def test_a_thousand_bad_connections_leave_no_descriptor(
     world: World, kind: Callable[[World], Awaitable[None]]
 ) -> None:
@@ -173,13 +178,13 @@
     pid = world.process.pid
     await asyncio.sleep(0)
     before = len(open_now(pid))
-    for _ in range(KIND // AT_ONCE):
+    for _ in range(BAD_CONNECTIONS // AT_ONCE):
         await asyncio.gather(*(kind(world) for _ in range(AT_ONCE)))
 
-    async def back() -> None:
+    async def descriptors_released() -> None:
         while len(open_now(pid)) > before:
             await asyncio.sleep(0.02)
 
-    await soon(back())
+    await soon(descriptors_released())
     assert await client.command(b"PING") == b"+PONG"
     assert Path(f"/proc/{pid}").exists()
