--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address of a real process: health, figures, bans, and callers that are no help."""
+"""The operators' address of a real process: health, figures, bans and misbehaving callers."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 @pytest.fixture
-def manned(world: World) -> World:
-    """A relay that operators may call."""
+def admin_world(world: World) -> World:
+    """A relay with an operators' address."""
     world.admin_port = world.free_port()
     return world
 
 
-async def test_health_says_yes_once_clients_are_taken(manned: World) -> None:
-    await manned.run()
-    assert (await manned.call("GET", "health"))[0] == 200
+async def test_health_is_ok_once_clients_are_accepted(admin_world: World) -> None:
+    await admin_world.run()
+    assert (await admin_world.call("GET", "health"))[0] == 200
 
 
-async def test_figures_tell_what_became_of_messages(manned: World) -> None:
-    """Each message under its class and end, and what is out or listed as it is now."""
-    good = await manned.add("h1")
-    held = await manned.add("h2", silent, block=2)
-    client = await manned.run()
+async def test_figures_count_messages_by_class_and_result(admin_world: World) -> None:
+    """They also hold the current number of messages in flight and of listed endpoints."""
+    good = await admin_world.add("h1")
+    held = await admin_world.add("h2", silent, block=2)
+    client = await admin_world.run()
     await client.hand_in("m1")
     await good.call(0)
     good.script.append(lambda request: request.answer(500))
     await client.hand_in("m2", "unsafe")
-    await manned.directory.notice("m2")
+    await admin_world.directory.notice("m2")
     await client.hand_in("m3", dest=9, d=30)
-    await manned.directory.notice("m3")
+    await admin_world.directory.notice("m3")
     await client.hand_in("m4", "keyed", dest=2)
     await held.call(0)
-    await manned.counted("requests.safe.served", 1)
-    figures = await manned.figures()
+    await admin_world.counted("requests.safe.served", 1)
+    figures = await admin_world.figures()
     assert {name: value for name, value in figures.items() if value} == {
         "requests.safe.served": 1,
         "requests.safe.refused": 1,
@@ -50,48 +50,48 @@
     assert len(figures) == 3 * 3 + 4
 
 
-async def test_a_refusal_at_the_door_is_counted(manned: World) -> None:
-    manned.settings["allowed"] = manned.settings["allowed"] | {"open_cap": 1}
-    client = await manned.run()
+async def test_a_message_refused_on_arrival_is_counted(admin_world: World) -> None:
+    admin_world.settings["allowed"] = admin_world.settings["allowed"] | {"open_cap": 1}
+    client = await admin_world.run()
     assert await client.hand_in("m1") == b"+OK"
     assert (await client.hand_in("m2")).startswith(b"-BUSY")
-    assert (await manned.figures())["requests.safe.refused"] == 1
+    assert (await admin_world.figures())["requests.safe.refused"] == 1
 
 
-async def test_a_banned_endpoint_gets_nothing_until_it_is_called_back(manned: World) -> None:
-    """Whatever discovery says, and whatever becomes of the process."""
-    host = await manned.add("h1")
-    client = await manned.run()
+async def test_a_banned_endpoint_gets_no_message_until_the_ban_is_lifted(admin_world: World) -> None:
+    """The ban outlasts changes of the endpoint list and restarts of the relay."""
+    host = await admin_world.add("h1")
+    client = await admin_world.run()
     await client.hand_in("m1")
     await host.call(0)
-    assert (await manned.call("PUT", "cordon?who=h1"))[0] == 200
-    assert (await manned.call("PUT", "cordon?who=h1"))[0] == 200  # once more changes nothing
+    assert (await admin_world.call("PUT", "cordon?who=h1"))[0] == 200
+    assert (await admin_world.call("PUT", "cordon?who=h1"))[0] == 200  # a second ban changes nothing
     await client.hand_in("m2", d=300)
-    assert (await manned.directory.notice("m2"))["result"] == "bounced"
-    figures = await manned.figures()
+    assert (await admin_world.directory.notice("m2"))["result"] == "bounced"
+    figures = await admin_world.figures()
     assert (figures["endpoints_known"], figures["endpoints_excluded"]) == (1, 1)
-    manned.directory.change("h1", health="DRAINING")
-    manned.directory.change("h1", health="SERVING")
-    client = await manned.again()
+    admin_world.directory.change("h1", health="DRAINING")
+    admin_world.directory.change("h1", health="SERVING")
+    client = await admin_world.again()
     await client.hand_in("m3", d=300)
-    assert (await manned.directory.notice("m3"))["result"] == "bounced"
+    assert (await admin_world.directory.notice("m3"))["result"] == "bounced"
     assert len(host.seen) == 1
-    assert (await manned.call("PUT", "uncordon?who=h1"))[0] == 200
+    assert (await admin_world.call("PUT", "uncordon?who=h1"))[0] == 200
     await client.hand_in("m4")
     assert (await host.call(1)).ids == ["m4"]
-    assert (await manned.figures())["endpoints_excluded"] == 0
-    client = await manned.again()  # the call back outlives the process as well
+    assert (await admin_world.figures())["endpoints_excluded"] == 0
+    client = await admin_world.again()  # the end of the ban outlasts a restart as well
     await client.hand_in("m5")
     assert (await host.call(2)).ids == ["m5"]
 
 
-async def test_an_endpoint_that_left_the_list_can_still_be_banned(manned: World) -> None:
-    await manned.add("h1")
-    await manned.run()
-    await manned.counted("endpoints_known", 1)
-    manned.directory.change("h1", health="DELETED")
-    await manned.counted("endpoints_known", 0)
-    assert (await manned.call("PUT", "cordon?who=h1"))[0] == 200
+async def test_an_endpoint_that_left_the_list_can_still_be_banned(admin_world: World) -> None:
+    await admin_world.add("h1")
+    await admin_world.run()
+    await admin_world.counted("endpoints_known", 1)
+    admin_world.directory.change("h1", health="DELETED")
+    await admin_world.counted("endpoints_known", 0)
+    assert (await admin_world.call("PUT", "cordon?who=h1"))[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -110,10 +110,12 @@
         ("GET", "nothing", 404),
     ],
 )
-async def test_a_bad_call_is_told_so(manned: World, method: str, target: str, status: int) -> None:
-    await manned.run()
-    assert (await manned.call(method, target))[0] == status
-    assert (await manned.call("GET", "health"))[0] == 200
+async def test_an_invalid_call_gets_an_error_status(
+    admin_world: World, method: str, target: str, status: int
+) -> None:
+    await admin_world.run()
+    assert (await admin_world.call(method, target))[0] == status
+    assert (await admin_world.call("GET", "health"))[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -126,15 +128,15 @@
         b"GET /" + b"x" * 70_000,
     ],
 )
-async def test_what_is_no_call_gets_a_no(manned: World, data: bytes) -> None:
-    await manned.run()
-    assert (await manned.operator(data)).startswith(b"HTTP/1.1 4")
-    assert (await manned.call("GET", "health"))[0] == 200
+async def test_bytes_that_are_not_a_valid_call_get_an_error_status(admin_world: World, data: bytes) -> None:
+    await admin_world.run()
+    assert (await admin_world.operator(data)).startswith(b"HTTP/1.1 4")
+    assert (await admin_world.call("GET", "health"))[0] == 200
 
 
-async def test_a_call_may_come_in_pieces_and_with_more_behind_it(manned: World) -> None:
-    await manned.run()
-    reader, writer = await asyncio.open_connection(manned.address, manned.admin_port)
+async def test_a_call_may_arrive_in_pieces_and_be_followed_by_more_data(admin_world: World) -> None:
+    await admin_world.run()
+    reader, writer = await asyncio.open_connection(admin_world.address, admin_world.admin_port)
     for at in range(len(GET)):
         writer.write(GET[at : at + 1])
         await writer.drain()
@@ -144,14 +146,14 @@
     writer.close()
 
 
-async def test_callers_that_never_finish_keep_nobody_out(manned: World) -> None:
-    """More of them than there is room for; those that were silent longest go."""
-    await manned.run()
-    quiet = [await asyncio.open_connection(manned.address, manned.admin_port) for _ in range(40)]
-    for _reader, writer in quiet:
+async def test_callers_that_never_finish_do_not_keep_others_out(admin_world: World) -> None:
+    """Above the limit on connections the least recently active ones are closed."""
+    await admin_world.run()
+    stalled = [await asyncio.open_connection(admin_world.address, admin_world.admin_port) for _ in range(40)]
+    for _reader, writer in stalled:
         writer.write(GET[:20])
-    assert (await manned.call("GET", "health"))[0] == 200
-    for _reader, writer in quiet:
+    assert (await admin_world.call("GET", "health"))[0] == 200
+    for _reader, writer in stalled:
         writer.close()
 
 
