--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail: what the run passes over, and what it does not."""
+"""The list of tests known to fail: which failures a run accepts, and which it does not."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def suite(pytester: pytest.Pytester) -> pytest.Pytester:
-    """A run of its own with one test that fails and one that passes."""
+    """A separate test suite with one test that fails and one that passes."""
     pytester.makepyfile(test_suite=TESTS)
     lines = ("addopts = -p tests.known_red", "testpaths = .", "asyncio_default_fixture_loop_scope = function")
     pytester.makeini("\n".join(("[pytest]", *lines)))
@@ -25,7 +25,7 @@
 
 
 def run(suite: pytest.Pytester, *lines: str) -> pytest.RunResult:
-    """The run with these lines in the file."""
+    """Run the suite with these lines in the file of known failures."""
     (suite.path / FILE).write_text("\n".join(lines), encoding="utf-8")
     return suite.runpytest_inprocess()
 
@@ -37,7 +37,7 @@
 GREEN = f"test_suite.py::test_green | {COMMAND} | nothing | issue 7"
 
 
-def test_a_listed_test_runs_is_passed_over_and_printed(suite: pytest.Pytester) -> None:
+def test_a_listed_test_runs_may_fail_and_is_printed(suite: pytest.Pytester) -> None:
     result = run(suite, RED)
     result.assert_outcomes(passed=1, xfailed=1)
     result.stdout.fnmatch_lines(["*known red*", f"test_suite.py::test_red: {REASON}"])
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "told"),
+    ("lines", "message"),
     [
         ([RED, GREEN.replace("green", "gone")], "no test is called test_suite.py::test_gone"),
         ([RED, RED], "a test stands there twice"),
@@ -70,7 +70,7 @@
         ([RED.replace("the sum is off", "")], UNREADABLE),
     ],
 )
-def test_a_list_that_cannot_stand_fails_the_run(suite: pytest.Pytester, lines: list[str], told: str) -> None:
+def test_an_invalid_list_fails_the_run(suite: pytest.Pytester, lines: list[str], message: str) -> None:
     result = run(suite, *lines)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    result.stderr.fnmatch_lines([f"*{told}*"])
+    result.stderr.fnmatch_lines([f"*{message}*"])
