--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The world that a relay's tests run in, torn down whatever happens."""
+"""Fixture for the environment of a relay under test, which is always torn down."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest_asyncio.fixture
 async def world(tmp_path: Path) -> AsyncIterator[World]:
-    """A directory, no hosts yet, and a relay that is not started."""
+    """An environment with a directory, no hosts yet, and a relay that is not started."""
     world = World(tmp_path)
     await world.start()
     yield world
