--- a/relay/clients.py
+++ b/relay/clients.py
@@ -19,7 +19,8 @@
 
 LOG = logging.getLogger(__name__)
 MAX_BODY_BYTES = 64 * 1024
-MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096  # unfinished requests that grow beyond this are protocol errors
+# Of one request, with 4096 for all but the body. An unfinished request that is longer is a protocol error.
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 4096
 TOKEN_PATTERN = re.compile(rb"[!-~]{1,128}")  # valid in an HTTP header and in a line of a batch
 NUMBER_PATTERN = re.compile(rb"[0-9]{1,12}")
 # Share of the memory limit that unfinished requests of all clients together may take.
@@ -37,7 +38,7 @@
 ACCEPT_BATCH_SHARE = 0.125
 # No endpoint list names a higher destination: a message for one would be accepted and never find an endpoint.
 MAX_DEST = 65535
-MAX_TIME_LEFT_MS = 24 * 3600 * 1000
+MAX_TIME_LEFT_MS = 24 * 3600 * 1000  # a message with more time left gets this much
 
 
 class BadRequestError(ValueError):
@@ -51,9 +52,9 @@
     return raw.decode("ascii")
 
 
-def parse_number(pairs: dict[bytes, bytes], name: bytes) -> int:
+def parse_number(parameters: dict[bytes, bytes], name: bytes) -> int:
     """Return a mandatory whole number of 1 to 12 digits; raise ``BadRequestError`` for anything else."""
-    text = pairs.get(name, b"")
+    text = parameters.get(name, b"")
     if not NUMBER_PATTERN.fullmatch(text):
         raise BadRequestError(f"{name.decode()} is no whole number")
     return int(text)
@@ -67,26 +68,26 @@
     """
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
-    _, order, ref, names, body = args
+    _, order_key, message_id, parameter_list, body = args
     if len(body) > MAX_BODY_BYTES:
         raise BadRequestError("the body is too long")
-    pairs: dict[bytes, bytes] = {}
-    for pair in names.split(b","):
-        name, sign, value = pair.partition(b"=")
-        if not sign:
+    parameters: dict[bytes, bytes] = {}
+    for pair in parameter_list.split(b","):
+        name, separator, value = pair.partition(b"=")
+        if not separator:
             raise BadRequestError("the list holds no name=value pair")
-        pairs[name.strip()] = value
-    if (dest := parse_number(pairs, b"dest")) > MAX_DEST:
+        parameters[name.strip()] = value
+    if (dest := parse_number(parameters, b"dest")) > MAX_DEST:
         raise BadRequestError("dest is out of range")
-    left_ms = min(parse_number(pairs, b"d"), MAX_TIME_LEFT_MS)
+    left_ms = min(parse_number(parameters, b"d"), MAX_TIME_LEFT_MS)
     message = ClientMessage(
-        id=parse_token(ref, "the id"),
+        id=parse_token(message_id, "the id"),
         dest=dest,
-        cls=parse_token(pairs.get(b"c", b""), "c"),
+        cls=parse_token(parameters.get(b"c", b""), "c"),
         deadline_us=now_us + left_ms * 1000,
-        tenant=parse_token(pairs[b"t"], "t") if pairs.get(b"t") else "",
-        order="" if not order.strip(b"0") else parse_token(order, "the key"),
-        key=parse_token(pairs[b"k"], "k") if pairs.get(b"k") else "",
+        tenant=parse_token(parameters[b"t"], "t") if parameters.get(b"t") else "",
+        order="" if not order_key.strip(b"0") else parse_token(order_key, "the key"),
+        key=parse_token(parameters[b"k"], "k") if parameters.get(b"k") else "",
     )
     return message, body
 
--- a/relay/config.py
+++ b/relay/config.py
@@ -47,8 +47,8 @@
 
 def parse_address(text: str) -> Address:
     """Return ``host:port`` as the pair that sockets take; raise ``ConfigError`` for anything else."""
-    host, sign, port = text.rpartition(":")
-    if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"not an address: {text!r}")
     return host, int(port)
 
