--- a/relay/clients.py
+++ b/relay/clients.py
@@ -1,4 +1,4 @@
-"""RESP2 server for clients: accepts messages, or answers every request with the reason why it does not."""
+"""RESP2 server for clients: accepts messages or refuses them, and leaves no request unanswered."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     """Return the message and the body of an ENQUEUE request; raise ``BadRequestError`` if it is invalid.
 
     The request holds the time left in milliseconds; the message's deadline is that long after ``now_us``.
-    A key that is empty or consists of zeros means that the message has no key.
+    An ordering key that is empty or consists of zeros means that the message has none.
     """
     if len(args) != 5:
         raise BadRequestError("ENQUEUE takes a key, an id, a list and a body")
