--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -14,13 +14,13 @@
 import typer
 
 from quorum import wire
-from quorum.client import QuorumError, ask_member, leader_of, member_status, order
+from quorum.client import QuorumError, ask_member, find_leader, member_status, order_leader
 from quorum.commands import run_command_line, stop_event
 from quorum.config import load
 from quorum.messages import Snapshot
 from quorum.server import Server
 from quorum.service_logging import configure_logging
-from quorum.state_machine import restored
+from quorum.state_machine import prepare_restored_state
 from quorum.store import StoreError, replace_file, restore
 from tomlconfig import Address, ConfigError, address_of
 
@@ -46,7 +46,7 @@
     await server.stop()
 
 
-def addresses(path: Path) -> dict[str, Address]:
+def member_addresses(path: Path) -> dict[str, Address]:
     """The members of a configuration file."""
     return {name: address_of(text) for name, text in load(path).members.items()}
 
@@ -58,7 +58,7 @@
     asyncio.run(serve(config))
 
 
-def line_of(health: wire.Health) -> str:
+def format_health(health: wire.Health) -> str:
     """A member in one line."""
     behind = ", ".join(f"{other} {lag}" for other, lag in sorted(health.lag.items()))
     turned = "; ".join(f"{other} does not listen: {why}" for other, why in sorted(health.turned.items()))
@@ -72,7 +72,7 @@
     )
 
 
-async def ask_all(members: dict[str, Address], as_json: bool) -> bool:
+async def print_status(members: dict[str, Address], as_json: bool) -> bool:
     """A line for each member; whether one leads among those that answer."""
     leads = False
     for name, address in sorted(members.items()):
@@ -86,22 +86,22 @@
             )
             continue
         leads |= health.role == "leader"
-        print(msgspec.json.encode(health).decode() if as_json else line_of(health))
+        print(msgspec.json.encode(health).decode() if as_json else format_health(health))
     return leads
 
 
 @app.command(name="status")
 def status_of_all(config: ConfigFile, as_json: Json = False) -> None:
     """A line for each member; 1 where none of them leads."""
-    raise typer.Exit(0 if asyncio.run(ask_all(addresses(config), as_json)) else 1)
+    raise typer.Exit(0 if asyncio.run(print_status(member_addresses(config), as_json)) else 1)
 
 
 @app.command()
 def leases(config: ConfigFile, as_json: Json = False) -> None:
     """All leases as the leader knows them: holder, token, time left, who waits."""
 
-    async def ask() -> wire.Answer:
-        return await ask_member(await leader_of(addresses(config)), wire.Leases(1))
+    async def ask() -> wire.ServerMessage:
+        return await ask_member(await find_leader(member_addresses(config)), wire.Leases(1))
 
     listed = asyncio.run(ask())
     assert isinstance(listed, wire.Listed)
@@ -117,27 +117,27 @@
 @app.command(name="step-down")
 def step_down(config: ConfigFile) -> None:
     """Let another member lead."""
-    asyncio.run(order(addresses(config), wire.StepDown(1)))
+    asyncio.run(order_leader(member_addresses(config), wire.StepDown(1)))
 
 
 @app.command()
 def add(config: ConfigFile, name: str) -> None:
     """Add a member, whose address all members' files have."""
-    asyncio.run(order(addresses(config), wire.Change(1, add=name)))
+    asyncio.run(order_leader(member_addresses(config), wire.Change(1, add=name)))
 
 
 @app.command()
 def remove(config: ConfigFile, name: str) -> None:
     """Take a member out."""
-    asyncio.run(order(addresses(config), wire.Change(1, remove=name)))
+    asyncio.run(order_leader(member_addresses(config), wire.Change(1, remove=name)))
 
 
 @app.command()
 def snapshot(config: ConfigFile, file: Annotated[Path, typer.Argument(help="Where the copy goes.")]) -> None:
     """Keep a copy of what the leader has applied."""
 
-    async def ask() -> wire.Answer:
-        return await ask_member(await leader_of(addresses(config)), wire.Copy(1), 10.0)
+    async def ask() -> wire.ServerMessage:
+        return await ask_member(await find_leader(member_addresses(config)), wire.Copy(1), 10.0)
 
     copied = asyncio.run(ask())
     assert isinstance(copied, wire.Copied)
@@ -156,11 +156,11 @@
     loaded = load(config)
     try:
         copy = msgspec.msgpack.decode(file.read_bytes(), type=Snapshot)
-        data = restored(copy.data)
+        data = prepare_restored_state(copy.data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{file}: no copy of a quorum: {error}") from None
-    restore(Path(loaded.folder), Snapshot(copy.index, copy.term, loaded.first_members, data))
-    print(f"{loaded.folder}: begins after entry {copy.index}; members {' '.join(loaded.first_members)}")
+    restore(Path(loaded.folder), Snapshot(copy.index, copy.term, loaded.initial_members, data))
+    print(f"{loaded.folder}: begins after entry {copy.index}; members {' '.join(loaded.initial_members)}")
 
 
 def main() -> int:
--- a/quorum/client.py
+++ b/quorum/client.py
@@ -1,7 +1,7 @@
 """The client's shell: a session with a quorum that rides out changes of its leader.
 
 A request is repeated under the same session and number until its answer is certain, so that it counts once;
-between tries the pauses grow, with jitter, up to a bound. A lease counts from an answer's ``counts_from_us``.
+between tries the pauses grow, with jitter, up to a bound. A lease counts from an answer's ``lease_start_us``.
 """
 
 from __future__ import annotations
@@ -28,12 +28,15 @@
     Release,
     Renew,
 )
-from quorum.wire import MOST_FRAME, VERSION, Hello, WireError, encode_frame
+from quorum.wire import MAX_FRAME_BYTES, PROTOCOL_VERSION, Hello, WireError, encode_frame
 from tomlconfig import Address
 
-TRY_S, MOST_TRY_S = 0.5, 4.0  # s for a first try, beside what the request itself may wait, and for later ones
-CONNECT_S = 0.5
-PAUSES_S = (0.02, 1.0)  # between tries: at first, and at most
+FIRST_TRY_S, MAX_TRY_S = (
+    0.5,
+    4.0,
+)  # s for a first try, beside what the request itself may wait, and for later ones
+CONNECT_TIMEOUT_S = 0.5
+RETRY_PAUSES_S = (0.02, 1.0)  # between tries: at first, and at most
 
 
 class QuorumError(RuntimeError):
@@ -45,11 +48,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class TimedResponse:
     """An answer, and from when on what it brings may be counted."""
 
     response: Response
-    counts_from_us: int
+    lease_start_us: int
 
 
 class Client:
@@ -59,34 +62,34 @@
         self._members, self._owner, self._random = dict(members), owner, random or Random()
         self._leader = ""
         self._connection: tuple[str, asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self._number = 0  # of requests on the connection
+        self._last_number = 0  # of requests on the connection
         self._session, self._seq = 0, 0
-        self._turn = asyncio.Lock()
+        self._request_lock = asyncio.Lock()
 
-    async def ask(self, request: Request, within_s: float) -> Got:
+    async def ask(self, request: Request, within_s: float) -> TimedResponse:
         """Ask until the answer is certain; ``QuorumError`` where that takes longer."""
         try:
-            async with asyncio.timeout(within_s + TRY_S), self._turn:
-                return await self._ask(request, within_s)
+            async with asyncio.timeout(within_s + FIRST_TRY_S), self._request_lock:
+                return await self._ask_until_certain(request, within_s)
         except TimeoutError:
             raise QuorumError(f"no certain answer within {within_s:g} s") from None
 
-    async def _ask(self, request: Request, within_s: float) -> Got:
-        asking, pause_s, try_s, repeated = RequestTiming(), PAUSES_S[0], TRY_S, False
+    async def _ask_until_certain(self, request: Request, within_s: float) -> TimedResponse:
+        asking, pause_s, try_s, repeated = RequestTiming(), RETRY_PAUSES_S[0], FIRST_TRY_S, False
         until_us = now_us() + int(within_s * 1e6)
         waits_s = request.wait_ms / 1000 if isinstance(request, Wait | Watch) else 0.0
         while now_us() < until_us:
             asking.record_sent(now_us())
-            response = await self._try(request, try_s + waits_s)
+            response = await self._try_once(request, try_s + waits_s)
             certain = response is not None and not isinstance(response, Elsewhere | Unknown)
             if response is not None and certain and not (repeated and isinstance(response, NoRoom)):
                 if response == Refused(NO_SESSION):
                     self._session = 0
                     raise SessionError(NO_SESSION)
-                return Got(response, asking.lease_start_us)
+                return TimedResponse(response, asking.lease_start_us)
             repeated |= not isinstance(response, Elsewhere)
             if response is None:
-                try_s = min(2 * try_s, MOST_TRY_S)  # it may be slow, and asking again makes it slower
+                try_s = min(2 * try_s, MAX_TRY_S)  # it may be slow, and asking again makes it slower
             if isinstance(response, Elsewhere) and response.leader in self._members:
                 moved = self._leader != response.leader
                 self._leader = response.leader
@@ -95,20 +98,20 @@
             else:
                 self._leader = ""
             await asyncio.sleep(pause_s * self._random.uniform(0.5, 1.5))
-            pause_s = min(2 * pause_s, PAUSES_S[1])
+            pause_s = min(2 * pause_s, RETRY_PAUSES_S[1])
         raise QuorumError(f"no certain answer within {within_s:g} s")
 
-    async def _try(self, request: Request, try_s: float) -> Response | None:
+    async def _try_once(self, request: Request, try_s: float) -> Response | None:
         """One try at the member that leads, or at any; None where it brought nothing."""
         name = self._leader or self._random.choice(list(self._members))
         try:
-            reader, writer = await self._reach(name)
-            self._number += 1
-            writer.write(encode_frame(wire.Ask(self._number, request)))
+            reader, writer = await self._connect_to(name)
+            self._last_number += 1
+            writer.write(encode_frame(wire.Ask(self._last_number, request)))
             async with asyncio.timeout(try_s):
-                while body := await wire.read_frame(reader, MOST_FRAME):
-                    told = wire.decode_body(wire.answer_decoder, body)
-                    if told.number == self._number and isinstance(told, wire.Told):
+                while body := await wire.read_frame(reader, MAX_FRAME_BYTES):
+                    told = wire.decode_body(wire.server_message_decoder, body)
+                    if told.number == self._last_number and isinstance(told, wire.Told):
                         if not isinstance(told.response, Elsewhere):
                             self._leader = name
                         return told.response
@@ -120,13 +123,13 @@
         self.close()
         return None
 
-    async def _reach(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def _connect_to(self, name: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if self._connection is not None and self._connection[0] == name:
             return self._connection[1:]
         self.close()
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*self._members[name])
-        writer.write(encode_frame(Hello(VERSION)))
+        writer.write(encode_frame(Hello(PROTOCOL_VERSION)))
         self._connection = (name, reader, writer)
         return reader, writer
 
@@ -151,28 +154,28 @@
     async def end_session(self, within_s: float) -> None:
         """End the session in order: whatever it holds is free at once."""
         if self._session:
-            await self.ask(Close(self._session, self._next()), within_s)
+            await self.ask(Close(self._session, self._next_seq()), within_s)
             self._session = 0
         self.close()
 
-    def _next(self) -> int:
+    def _next_seq(self) -> int:
         self._seq += 1
         return self._seq
 
     async def acquire(
         self, lease: str, ttl_ms: int, *, delay_ms: int = 0, wait_ms: int = 0, within_s: float
-    ) -> Got:
+    ) -> TimedResponse:
         """Take a lease, waiting in turn for it where another holds it."""
-        acquire = Acquire(self._session, self._next(), lease, ttl_ms, delay_ms)
+        acquire = Acquire(self._session, self._next_seq(), lease, ttl_ms, delay_ms)
         return await self.ask(Wait(acquire, wait_ms) if wait_ms else acquire, within_s)
 
-    async def renew(self, lease: str, token: int, within_s: float) -> Got:
+    async def renew(self, lease: str, token: int, within_s: float) -> TimedResponse:
         """Hold a lease on."""
-        return await self.ask(Renew(self._session, self._next(), lease, token), within_s)
+        return await self.ask(Renew(self._session, self._next_seq(), lease, token), within_s)
 
-    async def release(self, lease: str, token: int, within_s: float) -> Got:
+    async def release(self, lease: str, token: int, within_s: float) -> TimedResponse:
         """Give a lease back."""
-        return await self.ask(Release(self._session, self._next(), lease, token), within_s)
+        return await self.ask(Release(self._session, self._next_seq(), lease, token), within_s)
 
     async def read(self, within_s: float, *, lease: str = "", key: str = "") -> Told:
         """What a lease and a record are."""
@@ -196,7 +199,7 @@
         self, key: str, version: int, value: bytes, *, lease: str = "", token: int = 0, within_s: float
     ) -> Answer:
         """Write a record, if its version is that one; with a lease only while that is in force."""
-        put = Put(self._session, self._next(), key, version, value, lease, token)
+        put = Put(self._session, self._next_seq(), key, version, value, lease, token)
         got = await self.ask(put, within_s)
         if not isinstance(got.response, Done | Held | Refused):
             raise QuorumError(f"not written: {got.response}")
@@ -219,11 +222,11 @@
         if not isinstance(got.response, Done):
             return False
         self.held_lease, token = HeldLease(self._ttl_ms * 1000, self._bounds), got.response.token
-        if self.held_lease.granted(got.counts_from_us, now_us(), token):
+        if self.held_lease.granted(got.lease_start_us, now_us(), token):
             return True
         # It waited for its turn, and cannot know for how long: a renewal tells how much is left.
         got = await self._client.renew(self._lease, token, self._ttl_ms / 1000)
-        return isinstance(got.response, Done) and self.held_lease.granted(got.counts_from_us, now_us(), token)
+        return isinstance(got.response, Done) and self.held_lease.granted(got.lease_start_us, now_us(), token)
 
     async def keep_renewed(self) -> None:
         """Renew until the lease is over; returns when the task must have stopped."""
@@ -239,7 +242,7 @@
             except QuorumError:
                 continue
             if isinstance(got.response, Done):
-                self.held_lease.renewed(got.counts_from_us, now_us(), got.response.token)
+                self.held_lease.renewed(got.lease_start_us, now_us(), got.response.token)
             else:
                 self.held_lease.lost()
 
@@ -254,17 +257,19 @@
         return self.held_lease.may_act(now_us())
 
 
-async def ask_member(address: Address, asked: wire.Asked, within_s: float = 2.0) -> wire.Answer:
+async def ask_member(
+    address: Address, asked: wire.ClientMessage, within_s: float = 2.0
+) -> wire.ServerMessage:
     """Ask one member one thing as an operator; ``QuorumError`` where it does not answer."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                writer.write(encode_frame(Hello(VERSION)) + encode_frame(asked))
-                body = await wire.read_frame(reader, MOST_FRAME)
+                writer.write(encode_frame(Hello(PROTOCOL_VERSION)) + encode_frame(asked))
+                body = await wire.read_frame(reader, MAX_FRAME_BYTES)
                 if not body:
                     raise WireError("it ended the connection")
-                return wire.decode_body(wire.answer_decoder, body)
+                return wire.decode_body(wire.server_message_decoder, body)
             finally:
                 writer.close()
     except (OSError, TimeoutError, WireError) as error:
@@ -280,7 +285,7 @@
     return answer
 
 
-async def leader_of(members: Mapping[str, Address]) -> Address:
+async def find_leader(members: Mapping[str, Address]) -> Address:
     """Where the member is that leads, by the latest term that any tells; ``QuorumError`` where none does."""
     found = [(0, "")]
     for address in members.values():
@@ -295,9 +300,11 @@
     return members[leader]
 
 
-async def order(members: Mapping[str, Address], asked: wire.Asked, within_s: float = 5.0) -> None:
+async def order_leader(
+    members: Mapping[str, Address], asked: wire.ClientMessage, within_s: float = 5.0
+) -> None:
     """Have the leader do something; ``QuorumError`` with its reason where it does not."""
-    answer = await ask_member(await leader_of(members), asked, within_s)
+    answer = await ask_member(await find_leader(members), asked, within_s)
     response = answer.response if isinstance(answer, wire.Told) else answer
     match response:
         case Done():
--- a/quorum/config.py
+++ b/quorum/config.py
@@ -8,7 +8,7 @@
 
 from tomlconfig import Address, ConfigError, address_of, check_address, read
 
-MOST_MEMBERS, MOST_RESERVE_KB = 9, 1024 * 1024
+MAX_MEMBERS, MAX_RESERVE_KB = 9, 1024 * 1024
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -32,7 +32,7 @@
     times: Times = Times()
 
     @property
-    def first_members(self) -> tuple[str, ...]:
+    def initial_members(self) -> tuple[str, ...]:
         """Who takes part before any change of membership."""
         return tuple(sorted(self.voters or self.members))
 
@@ -51,17 +51,17 @@
     """What types alone do not tell; ``ConfigError`` begins with the key."""
     if config.name not in config.members:
         raise ConfigError(f"members: {config.name!r} is not among them")
-    if len(config.members) > MOST_MEMBERS:
-        raise ConfigError(f"members: there are {len(config.members)}, and may be {MOST_MEMBERS}")
+    if len(config.members) > MAX_MEMBERS:
+        raise ConfigError(f"members: there are {len(config.members)}, and may be {MAX_MEMBERS}")
     for name in config.voters:
         if name not in config.members:
             raise ConfigError(f"voters: {name!r} is not among the members")
-    if len(set(config.first_members)) not in (1, 3, 5):
-        raise ConfigError(f"voters: there are {len(set(config.first_members))}, and have to be 1, 3 or 5")
+    if len(set(config.initial_members)) not in (1, 3, 5):
+        raise ConfigError(f"voters: there are {len(set(config.initial_members))}, and have to be 1, 3 or 5")
     if len(set(config.members.values())) < len(config.members):
         raise ConfigError("members: two have the same address")
-    if not 0 <= config.reserve_kb <= MOST_RESERVE_KB:
-        raise ConfigError(f"reserve_kb: {config.reserve_kb} is not from 0 to {MOST_RESERVE_KB}")
+    if not 0 <= config.reserve_kb <= MAX_RESERVE_KB:
+        raise ConfigError(f"reserve_kb: {config.reserve_kb} is not from 0 to {MAX_RESERVE_KB}")
     times = config.times
     if not 0 < 2 * times.heartbeat_ms <= times.least_election_ms < times.most_election_ms:
         raise ConfigError("times: 2 * heartbeat_ms <= least_election_ms < most_election_ms does not hold")
--- a/quorum/holder.py
+++ b/quorum/holder.py
@@ -9,15 +9,15 @@
 
 from dataclasses import dataclass
 
-RENEW_AT = 1 / 3  # of the time: when a lease is renewed, so that two losses leave room for a third try
+RENEW_FRACTION = 1 / 3  # of the time: when a lease is renewed, so that two losses leave room for a third try
 
 
 @dataclass(frozen=True, slots=True)
 class TimingBounds:
     """What a holder relies on."""
 
-    drift: float = 0.01  # by which a second here may be longer or shorter than one at a leader
-    notice_us: int = 50_000  # that a task is told before it must have stopped
+    max_drift: float = 0.01  # by which a second here may be longer or shorter than one at a leader
+    stop_notice_us: int = 50_000  # that a task is told before it must have stopped
 
 
 class RequestTiming:
@@ -28,18 +28,18 @@
     """
 
     def __init__(self) -> None:
-        self._first_us: int | None = None
+        self._first_sent_us: int | None = None
 
     def record_sent(self, now_us: int) -> None:
         """It is sent, once more or for the first time."""
-        if self._first_us is None:
-            self._first_us = now_us
+        if self._first_sent_us is None:
+            self._first_sent_us = now_us
 
     @property
     def lease_start_us(self) -> int:
         """From when on what it brings may be counted."""
-        assert self._first_us is not None
-        return self._first_us
+        assert self._first_sent_us is not None
+        return self._first_sent_us
 
 
 class HeldLease:
@@ -48,55 +48,55 @@
     def __init__(self, ttl_us: int, bounds: TimingBounds) -> None:
         self._ttl_us, self._bounds = ttl_us, bounds
         self.token = 0
-        self._until_us = 0
-        self._over = True
+        self._end_us = 0
+        self._ended = True
 
-    def _counted_us(self, sent_us: int, heard_us: int) -> int:
+    def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
         """Until when an answer to a request of then lets act: nothing after the sending is known."""
-        return sent_us + int(self._ttl_us * (1 - 2 * self._bounds.drift))
+        return sent_us + int(self._ttl_us * (1 - 2 * self._bounds.max_drift))
 
     def granted(self, sent_us: int, heard_us: int, token: int) -> bool:
         """A grant to a request that was sent at a time; whether there is time left to act in."""
-        until_us = self._counted_us(sent_us, heard_us)
-        if heard_us >= until_us - self._bounds.notice_us:
+        until_us = self._lease_end_us(sent_us, heard_us)
+        if heard_us >= until_us - self._bounds.stop_notice_us:
             return False
-        self.token, self._until_us, self._over = token, until_us, False
+        self.token, self._end_us, self._ended = token, until_us, False
         return True
 
     def renewed(self, sent_us: int, heard_us: int, token: int) -> bool:
         """A renewal; one that comes after the lease was to end here changes nothing, whatever it says."""
-        if self._late(heard_us) or token != self.token:
+        if self._is_late(heard_us) or token != self.token:
             return False
-        self._until_us = max(self._until_us, self._counted_us(sent_us, heard_us))
+        self._end_us = max(self._end_us, self._lease_end_us(sent_us, heard_us))
         return True
 
-    def _late(self, now_us: int) -> bool:
+    def _is_late(self, now_us: int) -> bool:
         return not self.may_act(now_us)
 
     def lost(self) -> None:
         """The lease has passed on, or was given back."""
-        self._over = True
+        self._ended = True
 
     @property
     def end_us(self) -> int:
         """When nothing may be done any more."""
-        return self._until_us
+        return self._end_us
 
     @property
     def stop_us(self) -> int:
         """When the task is told to stop."""
-        return self._until_us - self._bounds.notice_us
+        return self._end_us - self._bounds.stop_notice_us
 
     @property
     def renew_us(self) -> int:
         """When to renew."""
-        return self._until_us - int(self._ttl_us * (1 - RENEW_AT))
+        return self._end_us - int(self._ttl_us * (1 - RENEW_FRACTION))
 
     def may_act(self, now_us: int) -> bool:
         """Whether an act that is begun now is covered."""
-        if not self._over and now_us >= self._until_us:
-            self._over = True  # and stays so: what was paused past its end does not come back to life
-        return not self._over
+        if not self._ended and now_us >= self._end_us:
+            self._ended = True  # and stays so: what was paused past its end does not come back to life
+        return not self._ended
 
 
 class Fence:
--- a/quorum/incarnations.py
+++ b/quorum/incarnations.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from quorum.messages import Appended, AskVote, Message, Vote
+from quorum.messages import AppendResponse, Message, RequestVote, VoteResponse
 
-MOST_SHUNNED = 64  # folders
+MAX_SHUNNED_FOLDERS = 64  # folders
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True):
@@ -36,7 +36,7 @@
     last: int = 0  # index of the log's last entry
 
 
-class Promised(msgspec.Struct):
+class PeerPromises(msgspec.Struct):
     """What one member has promised this one."""
 
     term: int = 0
@@ -44,19 +44,19 @@
     acked_term: int = 0
     acked: int = 0  # the last entry that it acknowledged in that term
 
-    def note(self, message: Message) -> None:
+    def record_message(self, message: Message) -> None:
         """One more message of it."""
-        if isinstance(message, AskVote | Vote) and message.pre:
+        if isinstance(message, RequestVote | VoteResponse) and message.pre:
             return
         self.term = max(self.term, message.term)
-        if isinstance(message, Vote) and message.granted:
+        if isinstance(message, VoteResponse) and message.granted:
             self.voted = message.term
-        if isinstance(message, Appended) and message.ok:
+        if isinstance(message, AppendResponse) and message.ok:
             if message.term > self.acked_term:
                 self.acked_term, self.acked = message.term, 0
             self.acked = max(self.acked, message.match)
 
-    def forgotten(self, claim: StartupClaim, own: str) -> bool:
+    def is_broken_by(self, claim: StartupClaim, own: str) -> bool:
         """Whether a folder that holds so much has forgotten a promise."""
         if claim.term < self.term:
             return True
@@ -69,9 +69,9 @@
     """What one member has heard of the others."""
 
     def __init__(self, own: str, known: dict[str, Incarnation], shunned: Iterable[str] = ()) -> None:
-        self._own, self._known = own, dict(known)
+        self._own_name, self._known = own, dict(known)
         self._shunned = dict.fromkeys(shunned)  # folders, the latest last
-        self._promised: dict[str, Promised] = {}
+        self._promises: dict[str, PeerPromises] = {}
 
     @property
     def known(self) -> dict[str, Incarnation]:
@@ -88,20 +88,22 @@
         if folder in self._shunned:
             return False
         self._shunned[folder] = None
-        while len(self._shunned) > MOST_SHUNNED:
+        while len(self._shunned) > MAX_SHUNNED_FOLDERS:
             del self._shunned[next(iter(self._shunned))]
         return True
 
     def record_message(self, name: str, message: Message) -> None:
         """A message of a life that is listened to."""
-        self._promised.setdefault(name, Promised()).note(message)
+        self._promises.setdefault(name, PeerPromises()).record_message(message)
 
     def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
         """Why a member that says to be so is not listened to; empty where it is."""
         known, again = self._known.get(name), "take it out and add it again"
         if known is not None and life.folder == known.folder:
             newer, twice = life.start > known.start, life.start == known.start and life.run != known.run
-            if twice or (newer and self._promised.get(name, Promised()).forgotten(claim, self._own)):
+            if twice or (
+                newer and self._promises.get(name, PeerPromises()).is_broken_by(claim, self._own_name)
+            ):
                 self.shun(life.folder)
         older = known is not None and life.folder == known.folder and life.start < known.start
         if older or life.folder in self._shunned:
@@ -118,17 +120,17 @@
         self._known[name] = life
         return news
 
-    def unheard(self, name: str, durable: dict[str, Incarnation]) -> None:
+    def revert(self, name: str, durable: dict[str, Incarnation]) -> None:
         """What was heard of a member could not be made durable: the last that was counts."""
         if name in durable:
             self._known[name] = durable[name]
         else:
             self._known.pop(name, None)
 
-    def keep(self, names: tuple[str, ...]) -> bool:
+    def retain_members(self, names: tuple[str, ...]) -> bool:
         """Forget those that are no members any more; whether there were any."""
         gone = [name for name in self._known if name not in names]
         for name in gone:
             del self._known[name]
-            self._promised.pop(name, None)
+            self._promises.pop(name, None)
         return bool(gone)
--- a/quorum/lease_timers.py
+++ b/quorum/lease_timers.py
@@ -13,11 +13,11 @@
 
 from quorum.state_machine import Acquire, Answer, Close, Command, Done, Expire, Free, Lease, Renew
 
-RETRY_US = 1_000_000  # until an end that was proposed and not committed is proposed again
-SLACK = 64  # due times of clocks that were set anew, beside as many as there are clocks
+END_RETRY_US = 1_000_000  # until an end that was proposed and not committed is proposed again
+HEAP_SLACK = 64  # due times of clocks that were set anew, beside as many as there are clocks
 
 
-def touched(command: Command, known: Iterable[str]) -> list[str]:
+def affected_leases(command: Command, known: Iterable[str]) -> list[str]:
     """The leases that a command may have changed: the end of a session any of those that are known."""
     if isinstance(command, Close):
         return list(known)
@@ -26,19 +26,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class LeaseTimer:
     """One that runs."""
 
     due_us: int
-    end: Expire | Free
+    end_command: Expire | Free
 
 
 class LeaseTimers:
     """All of them, by lease; the next that is due is found without a look at the others."""
 
     def __init__(self) -> None:
-        self._running: dict[str, Clock] = {}
-        self._due: list[tuple[int, str]] = []  # a heap; what is not as in ``_running`` counts for nothing
+        self._timers: dict[str, LeaseTimer] = {}
+        self._due_heap: list[tuple[int, str]] = []  # a heap; what is not as in ``_timers`` counts for nothing
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         """A leader is new: each has its full time again."""
@@ -47,55 +47,57 @@
 
     def clear(self) -> None:
         """No leader any more: they mean nothing."""
-        self._running.clear()
-        self._due.clear()
+        self._timers.clear()
+        self._due_heap.clear()
 
     def update_after(
         self, now_us: int, command: Command, answer: Answer, leases: Mapping[str, Lease]
     ) -> None:
         """Start, set anew or stop clocks after a command."""
         counts = isinstance(answer, Done) and isinstance(command, Acquire | Renew | Expire | Free)
-        for name in touched(command, self._running):
+        for name in affected_leases(command, self._timers):
             if name not in leases:
-                self._running.pop(name, None)
+                self._timers.pop(name, None)
             elif counts:
                 self._start(now_us, name, leases[name])
 
     def _start(self, now_us: int, name: str, lease: Lease) -> None:
         if lease.session:
-            self._set(name, Clock(now_us + lease.ttl_ms * 1000, Expire(name, lease.token, lease.beat)))
+            self._set_timer(
+                name, LeaseTimer(now_us + lease.ttl_ms * 1000, Expire(name, lease.token, lease.beat))
+            )
         else:
-            self._set(name, Clock(now_us + lease.delay_ms * 1000, Free(name, lease.token)))
+            self._set_timer(name, LeaseTimer(now_us + lease.delay_ms * 1000, Free(name, lease.token)))
 
-    def _set(self, name: str, clock: Clock) -> None:
-        self._running[name] = clock
-        heapq.heappush(self._due, (clock.due_us, name))
-        if len(self._due) > 2 * len(self._running) + SLACK:
-            self._due = [(item.due_us, other) for other, item in self._running.items()]
-            heapq.heapify(self._due)
+    def _set_timer(self, name: str, clock: LeaseTimer) -> None:
+        self._timers[name] = clock
+        heapq.heappush(self._due_heap, (clock.due_us, name))
+        if len(self._due_heap) > 2 * len(self._timers) + HEAP_SLACK:
+            self._due_heap = [(item.due_us, other) for other, item in self._timers.items()]
+            heapq.heapify(self._due_heap)
 
-    def _stale(self, due_us: int, name: str) -> bool:
-        clock = self._running.get(name)
+    def _is_stale(self, due_us: int, name: str) -> bool:
+        clock = self._timers.get(name)
         return clock is None or clock.due_us != due_us
 
     @property
     def due_us(self) -> int | None:
         """When the next is due."""
-        while self._due and self._stale(*self._due[0]):
-            heapq.heappop(self._due)
-        return self._due[0][0] if self._due else None
+        while self._due_heap and self._is_stale(*self._due_heap[0]):
+            heapq.heappop(self._due_heap)
+        return self._due_heap[0][0] if self._due_heap else None
 
     def pop_due(self, now_us: int) -> list[Expire | Free]:
         """The ends that are to be proposed now; each again if it does not come to the log for long."""
         found = list[Expire | Free]()
         while (due_us := self.due_us) is not None and due_us <= now_us:
-            name = heapq.heappop(self._due)[1]
-            clock = self._running[name]
-            found.append(clock.end)
-            self._set(name, Clock(now_us + RETRY_US, clock.end))
+            name = heapq.heappop(self._due_heap)[1]
+            clock = self._timers[name]
+            found.append(clock.end_command)
+            self._set_timer(name, LeaseTimer(now_us + END_RETRY_US, clock.end_command))
         return found
 
     def remaining_us(self, now_us: int, name: str) -> int:
         """What a lease or a delay has left; 0 where no clock runs."""
-        clock = self._running.get(name)
+        clock = self._timers.get(name)
         return max(0, clock.due_us - now_us) if clock is not None else 0
--- a/quorum/log.py
+++ b/quorum/log.py
@@ -6,7 +6,7 @@
 
 from quorum.messages import Entry, Snapshot
 
-MOST_BATCH_BYTES = 256 * 1024  # of entries in one message
+MAX_BATCH_BYTES = 256 * 1024  # of entries in one message
 
 
 class Log:
@@ -46,17 +46,17 @@
         """The entry of that index, which is kept."""
         return self._entries[index - self.first_index]
 
-    def since(self, index: int) -> tuple[Entry, ...]:
+    def entries_from(self, index: int) -> tuple[Entry, ...]:
         """Entries from an index on, as many as one message takes, at least one."""
         found, size = list[Entry](), 0
         for entry in self._entries[index - self.first_index :]:
             size += len(entry.data) + 16
-            if found and size > MOST_BATCH_BYTES:
+            if found and size > MAX_BATCH_BYTES:
                 break
             found.append(entry)
         return tuple(found)
 
-    def replace(self, first: int, entries: Iterable[Entry]) -> None:
+    def replace_from(self, first: int, entries: Iterable[Entry]) -> None:
         """Entries from ``first`` on; what stood at or behind it goes."""
         self._entries[first - self.first_index :] = entries
 
--- a/quorum/member.py
+++ b/quorum/member.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from quorum import state_machine
-from quorum.lease_timers import LeaseTimers, touched
+from quorum.lease_timers import LeaseTimers, affected_leases
 from quorum.messages import (
     COMMAND,
     MEMBERS,
@@ -17,19 +17,19 @@
     Dropped,
     Message,
     Persist,
-    Readable,
+    ReadReady,
     RecoveredState,
-    Restored,
     Send,
+    SnapshotInstalled,
 )
-from quorum.raft import Draw, Raft, Role, Timing
+from quorum.raft import DrawInteger, Raft, Role, Timing
 from quorum.state_machine import Acquire, Answer, Command, Done, Held, Put, Refused, Shun, StateMachine
-from quorum.wait_queue import Waiting
+from quorum.wait_queue import WaitQueue
 
-COMPACT_AT = 4096  # entries in the log before it is compacted
-MOST_WAITERS = 4096  # requests that wait for leases
-MOST_WATCHERS = 4096  # requests that wait for a change
-MOST_WAIT_MS = 600_000
+MAX_LOG_ENTRIES = 4096  # entries in the log before it is compacted
+MAX_WAITERS = 4096  # requests that wait for leases
+MAX_WATCHERS = 4096  # requests that wait for a change
+MAX_WAIT_MS = 600_000
 
 
 class Read(msgspec.Struct, frozen=True, tag="read"):
@@ -82,9 +82,9 @@
     why: str
 
 
-Request = state_machine.Asked | Read | Wait | Watch
+Request = state_machine.ClientCommand | Read | Wait | Watch
 Response = Answer | Told | Elsewhere | Unknown | NoRoom
-FULL = "the disks of the quorum are full"
+DISKS_FULL = "the disks of the quorum are full"
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Together:
+class MembersChanged:
     """The members are these now, as all agree."""
 
     names: tuple[str, ...]
@@ -109,36 +109,36 @@
     folders: tuple[str, ...]
 
 
-Output = Send | Persist | Reply | Together | FoldersShunned
+Output = Send | Persist | Reply | MembersChanged | FoldersShunned
 
 
-def unwatched(_action: Committed, _machine: StateMachine) -> None:
+def ignore_applied(_action: Committed, _machine: StateMachine) -> None:
     """Nobody wants to know."""
 
 
-def fault_of(request: Request) -> str:
+def validation_error(request: Request) -> str:
     """What makes a request impossible whatever the state; empty where nothing does."""
-    if isinstance(request, Wait | Watch) and not 0 <= request.wait_ms <= MOST_WAIT_MS:
-        return f"wait_ms is from 0 to {MOST_WAIT_MS}"
+    if isinstance(request, Wait | Watch) and not 0 <= request.wait_ms <= MAX_WAIT_MS:
+        return f"wait_ms is from 0 to {MAX_WAIT_MS}"
     if isinstance(request, Watch):
         return "" if bool(request.lease) != bool(request.key) else "a watch is for a lease or for a record"
     if isinstance(request, Read):
         return ""
-    return state_machine.fault_of(request.acquire if isinstance(request, Wait) else request)
+    return state_machine.validation_error(request.acquire if isinstance(request, Wait) else request)
 
 
-def watched(command: Command, watching: list[str]) -> list[str]:
-    """What is waited for that a command may have changed, by the names of ``place_of``."""
+def affected_watches(command: Command, watching: list[str]) -> list[str]:
+    """What is waited for that a command may have changed, by the names of ``watch_key``."""
     if isinstance(command, Put):
         return [f"record {command.key}"]
     return (
-        touched(command, watching)
+        affected_leases(command, watching)
         if isinstance(command, state_machine.Close)
-        else [f"lease {name}" for name in touched(command, ())]
+        else [f"lease {name}" for name in affected_leases(command, ())]
     )
 
 
-def place_of(request: Watch) -> str:
+def watch_key(request: Watch) -> str:
     """What a watch is for."""
     return f"lease {request.lease}" if request.lease else f"record {request.key}"
 
@@ -153,58 +153,58 @@
         *,
         saved: RecoveredState,
         timing: Timing,
-        draw: Draw,
+        draw: DrawInteger,
         now_us: int,
         raft: type[Raft] = Raft,
         state: type[StateMachine] = StateMachine,
         clocks: type[LeaseTimers] = LeaseTimers,
-        watch: Callable[[Committed, StateMachine], None] = unwatched,
+        watch: Callable[[Committed, StateMachine], None] = ignore_applied,
     ) -> None:
         """Go on from what the disk gave back; ``watch`` is told of each entry once it is applied."""
-        self._watch = watch
+        self._on_applied = watch
         self.raft = raft(name, members, saved=saved, timing=timing, draw=draw, now_us=now_us)
         self.machine = state(saved.snapshot.data)
         self.applied = self.raft.commit
         self._now_us = now_us
-        self._clocks = clocks()
-        self._ready = False  # a leader that has applied all of its predecessors
-        self.waiting: Waiting[Wait] = Waiting(MOST_WAITERS)
-        self.watching: Waiting[Watch] = Waiting(MOST_WATCHERS)
-        self._asked: dict[int, Request] = {}  # by tag
-        self._inner = 0  # tags of the leader's own proposals are negative
+        self._lease_timers = clocks()
+        self._leader_ready = False  # a leader that has applied all of its predecessors
+        self.waiting: WaitQueue[Wait] = WaitQueue(MAX_WAITERS)
+        self.watching: WaitQueue[Watch] = WaitQueue(MAX_WATCHERS)
+        self._requests: dict[int, Request] = {}  # by tag
+        self._last_internal_tag = 0  # tags of the leader's own proposals are negative
         self._proposals: list[tuple[int, bytes]] = []  # of this step, by tag
-        self._reads: list[int] = []  # of this step
+        self._pending_reads: list[int] = []  # of this step
         self._granting: set[str] = set()  # leases for which a waiter's turn is being decided
-        self._out: list[Output] = []
+        self._outputs: list[Output] = []
 
     # Steps
 
     @property
     def due_us(self) -> int:
         """When ``wake`` is due."""
-        times = (self.raft.due_us, self._clocks.due_us, self.waiting.due_us, self.watching.due_us)
+        times = (self.raft.due_us, self._lease_timers.due_us, self.waiting.due_us, self.watching.due_us)
         return min(time for time in times if time is not None)
 
     def wake(self, now_us: int) -> list[Output]:
         """Time has passed."""
         self._now_us = now_us
-        self._carry(self.raft.wake(now_us))
-        if ends := self._clocks.pop_due(now_us):
+        self._process_actions(self.raft.wake(now_us))
+        if ends := self._lease_timers.pop_due(now_us):
             self._propose_own(ends)
-        self._give_up()
-        return self._taken()
+        self._answer_timed_out()
+        return self._take_outputs()
 
     def receive(self, now_us: int, sender: str, message: Message) -> list[Output]:
         """A message of another member."""
         self._now_us = now_us
-        self._carry(self.raft.receive(now_us, sender, message))
-        return self._taken()
+        self._process_actions(self.raft.receive(now_us, sender, message))
+        return self._take_outputs()
 
     def synced(self, now_us: int, number: int) -> list[Output]:
         """The disk is done with all writes up to that number."""
         self._now_us = now_us
-        self._carry(self.raft.synced(now_us, number))
-        return self._taken()
+        self._process_actions(self.raft.synced(now_us, number))
+        return self._take_outputs()
 
     def request(self, now_us: int, tag: int, request: Request) -> list[Output]:
         """A client's request; it is answered once, now or later."""
@@ -214,120 +214,122 @@
         """Requests that came together: one write, and one message to each other member, for all of them."""
         self._now_us = now_us
         for tag, request in some:
-            self._request(tag, request)
-        return self._taken()
+            self._handle_request(tag, request)
+        return self._take_outputs()
 
-    def _request(self, tag: int, request: Request) -> None:
-        if fault := fault_of(request):
+    def _handle_request(self, tag: int, request: Request) -> None:
+        if fault := validation_error(request):
             self._reply(tag, Refused(fault))
         elif self.raft.role is not Role.LEADER:
             self._reply(tag, Elsewhere(self.raft.leader))
         elif isinstance(request, Read | Watch):
-            self._asked[tag] = request
-            self._reads.append(tag)
-        elif not (isinstance(request, Wait) and request.wait_ms > 0 and self._queued(tag, request)):
+            self._requests[tag] = request
+            self._pending_reads.append(tag)
+        elif not (isinstance(request, Wait) and request.wait_ms > 0 and self._enqueue_if_held(tag, request)):
             self._propose(tag, request)
 
-    def gone(self, tags: list[int]) -> None:
+    def cancel(self, tags: list[int]) -> None:
         """Who asked these hears no answer any more: they wait for nothing."""
         for tag in tags:
-            self.waiting.drop(tag)
-            self.watching.drop(tag)
-            self._asked.pop(tag, None)
+            self.waiting.remove(tag)
+            self.watching.remove(tag)
+            self._requests.pop(tag, None)
 
     def change_members(self, now_us: int, tag: int, members: tuple[str, ...]) -> list[Output]:
         """An operator adds or removes one member."""
         self._now_us = now_us
-        self._carry(self.raft.change(now_us, tag, members))
-        return self._taken()
+        self._process_actions(self.raft.change_members(now_us, tag, members))
+        return self._take_outputs()
 
     def step_down(self, now_us: int) -> list[Output]:
         """An operator wants another leader."""
         self._now_us = now_us
-        self._carry(self.raft.step_down(now_us))
-        return self._taken()
+        self._process_actions(self.raft.step_down(now_us))
+        return self._take_outputs()
 
     def set_disk_full(self, now_us: int, full: bool) -> list[Output]:
         """The disk takes nothing that can wait, or does again."""
         self._now_us = now_us
-        self._carry(self.raft.disk(now_us, full))
-        return self._taken()
+        self._process_actions(self.raft.set_disk_full(now_us, full))
+        return self._take_outputs()
 
     def shun(self, now_us: int, folder: str) -> list[Output]:
         """A folder was found to have forgotten a promise: a leader has all members know."""
         self._now_us = now_us
         if self.raft.leader_state is not None and folder not in self.machine.state.shunned:
             self._propose_own([Shun(folder)])
-        return self._taken()
+        return self._take_outputs()
 
     def compact(self) -> list[Output]:
         """Put what is applied into a snapshot."""
         self._compact()
-        return self._taken()
+        return self._take_outputs()
 
     def _compact(self) -> None:
-        self._carry(self.raft.compact(self.applied, self.machine.snapshot()))
+        self._process_actions(self.raft.compact(self.applied, self.machine.snapshot()))
 
-    def _taken(self) -> list[Output]:
+    def _take_outputs(self) -> list[Output]:
         if self._proposals:
             some, self._proposals = self._proposals, []
-            self._carry(self.raft.propose_all(self._now_us, some))
-        if self._reads:
-            tags, self._reads = self._reads, []
-            self._carry(self.raft.read(self._now_us, *tags))
-        if len(self.raft.log) > COMPACT_AT and self.applied > self.raft.log.snapshot.index:
+            self._process_actions(self.raft.propose_all(self._now_us, some))
+        if self._pending_reads:
+            tags, self._pending_reads = self._pending_reads, []
+            self._process_actions(self.raft.read(self._now_us, *tags))
+        if len(self.raft.log) > MAX_LOG_ENTRIES and self.applied > self.raft.log.snapshot.index:
             self._compact()
-        out, self._out = self._out, []
+        out, self._outputs = self._outputs, []
         return out
 
     def _reply(self, tag: int, response: Response) -> None:
-        self._asked.pop(tag, None)
+        self._requests.pop(tag, None)
         if tag >= 0:
-            self._out.append(Reply(tag, response))
+            self._outputs.append(Reply(tag, response))
 
     def _propose(self, tag: int, request: Request) -> None:
         command = request.acquire if isinstance(request, Wait) else request
         assert not isinstance(command, Read | Watch)
-        if state_machine.may_grow_state(command) and not self.raft.roomy:
-            self._reply(tag, NoRoom(FULL))
+        if state_machine.may_grow_state(command) and not self.raft.majority_has_room:
+            self._reply(tag, NoRoom(DISKS_FULL))
             return
-        self._asked[tag] = request
+        self._requests[tag] = request
         self._proposals.append((tag, msgspec.msgpack.encode(command)))
 
     def _propose_own(self, commands: Sequence[state_machine.Expire | state_machine.Free | Shun]) -> None:
         for command in commands:
-            self._inner -= 1
-            self._proposals.append((self._inner, msgspec.msgpack.encode(command)))
+            self._last_internal_tag -= 1
+            self._proposals.append((self._last_internal_tag, msgspec.msgpack.encode(command)))
 
-    def _carry(self, actions: list[Action]) -> None:
+    def _process_actions(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Send() | Persist():
-                    self._out.append(action)
+                    self._outputs.append(action)
                 case Committed():
                     self._committed(action)
-                case Restored():
+                case SnapshotInstalled():
                     self.machine.restore(action.snapshot.data)
                     self.applied = action.snapshot.index
-                    self._out.append(Together(action.snapshot.members))
-                    self._out.append(FoldersShunned(tuple(self.machine.state.shunned)))
-                case Readable():
-                    self._readable(action.tag)
+                    self._outputs.append(MembersChanged(action.snapshot.members))
+                    self._outputs.append(FoldersShunned(tuple(self.machine.state.shunned)))
+                case ReadReady():
+                    self._answer_read(action.tag)
                 case Dropped():
-                    dropped = self._asked.get(action.tag)
+                    dropped = self._requests.get(action.tag)
                     if isinstance(dropped, Wait | Acquire):
                         acquire = dropped.acquire if isinstance(dropped, Wait) else dropped
                         self._granting.discard(acquire.lease)
                     self._reply(action.tag, Unknown() if action.unknown else Elsewhere(self.raft.leader))
-        if self.raft.role is not Role.LEADER and (self._ready or self.waiting or self.watching):
-            self._follow()
+        if self.raft.role is not Role.LEADER and (self._leader_ready or self.waiting or self.watching):
+            self._drop_leader_state()
 
-    def _follow(self) -> None:
+    def _drop_leader_state(self) -> None:
         """No leader any more: its clocks mean nothing, and who waits has to ask the next one."""
-        self._ready = False
-        self._clocks.clear()
+        self._leader_ready = False
+        self._lease_timers.clear()
         self._granting.clear()
-        tags = [item.tag for item in self.waiting.drain()] + [item.tag for item in self.watching.drain()]
+        tags = [item.tag for item in self.waiting.pop_everything()] + [
+            item.tag for item in self.watching.pop_everything()
+        ]
         for tag in tags:
             self._reply(tag, Elsewhere(self.raft.leader))
 
@@ -338,36 +340,38 @@
         answer: Answer = Done()
         command: Command | None = None
         if action.entry.kind == COMMAND:
-            command = state_machine.command_of(action.entry.data)
+            command = state_machine.decode_command(action.entry.data)
             answer = self.machine.apply(action.index, command)
             if isinstance(command, Shun):
-                self._out.append(FoldersShunned((command.folder,)))
+                self._outputs.append(FoldersShunned((command.folder,)))
         elif action.entry.kind == MEMBERS:
-            self._out.append(Together(msgspec.msgpack.decode(action.entry.data, type=tuple[str, ...])))
-        self._watch(action, self.machine)
-        leading, leases = self.raft.leader_state, self.machine.state.leases
-        if leading is not None and not self._ready and action.index >= leading.first:
-            self._ready = True
-            self._clocks.begin(self._now_us, leases)
-        elif self._ready and command is not None:
-            self._clocks.update_after(self._now_us, command, answer, leases)
+            self._outputs.append(
+                MembersChanged(msgspec.msgpack.decode(action.entry.data, type=tuple[str, ...]))
+            )
+        self._on_applied(action, self.machine)
+        leader_state, leases = self.raft.leader_state, self.machine.state.leases
+        if leader_state is not None and not self._leader_ready and action.index >= leader_state.first_index:
+            self._leader_ready = True
+            self._lease_timers.begin(self._now_us, leases)
+        elif self._leader_ready and command is not None:
+            self._lease_timers.update_after(self._now_us, command, answer, leases)
         if action.tag is not None:
-            self._answered(action.tag, answer)
-        if self._ready and command is not None:
-            self._next_waiter(command)
-            self._look_again(command)
+            self._answer_proposal(action.tag, answer)
+        if self._leader_ready and command is not None:
+            self._grant_next_waiter(command)
+            self._recheck_watches(command)
 
-    def _answered(self, tag: int, answer: Answer) -> None:
-        request = self._asked.get(tag)
+    def _answer_proposal(self, tag: int, answer: Answer) -> None:
+        request = self._requests.get(tag)
         if isinstance(request, Wait) and isinstance(answer, Held) and request.wait_ms > 0:
-            self._asked.pop(tag, None)
-            if self._queued(tag, request):
+            self._requests.pop(tag, None)
+            if self._enqueue_if_held(tag, request):
                 return
         self._reply(tag, answer)
 
-    # Waiting in turn
+    # WaitQueue in turn
 
-    def _queued(self, tag: int, request: Wait) -> bool:
+    def _enqueue_if_held(self, tag: int, request: Wait) -> bool:
         """Whether the request waits now; False where the lease is free and nobody is before it."""
         name = request.acquire.lease
         held = name in self.machine.state.leases
@@ -377,65 +381,65 @@
             self._reply(tag, NoRoom("too many wait"))
         return True
 
-    def _next_waiter(self, command: Command) -> None:
+    def _grant_next_waiter(self, command: Command) -> None:
         """A lease that came free goes to the one that waits longest; the others are not stirred."""
         if isinstance(command, Acquire):
             self._granting.discard(command.lease)
-        for name in touched(command, self.waiting.names):
+        for name in affected_leases(command, self.waiting.names):
             while name not in self.machine.state.leases and name not in self._granting:
                 waiter = self.waiting.pop(name)
                 if waiter is None:
                     break
                 self._propose(waiter.tag, waiter.request.acquire)
-                if waiter.tag in self._asked:
+                if waiter.tag in self._requests:
                     self._granting.add(name)
 
-    def _give_up(self) -> None:
+    def _answer_timed_out(self) -> None:
         """Waiters whose time is up are told who holds the lease; watchers, how things are."""
-        for waiter in self.waiting.over(self._now_us):
+        for waiter in self.waiting.pop_expired(self._now_us):
             lease = self.machine.state.leases.get(waiter.name)
             self._reply(waiter.tag, Held(lease.owner, lease.token) if lease is not None else Held("", 0))
-        over = self.watching.over(self._now_us)
+        over = self.watching.pop_expired(self._now_us)
         for item in over:
-            self._asked[item.tag] = Read(item.request.lease, item.request.key)
-        self._reads += [item.tag for item in over]
+            self._requests[item.tag] = Read(item.request.lease, item.request.key)
+        self._pending_reads += [item.tag for item in over]
 
     # Reading
 
-    def _look_again(self, command: Command) -> None:
+    def _recheck_watches(self, command: Command) -> None:
         """Those who watch what a command may have changed read it anew, all in one round."""
-        for place in watched(command, self.watching.names):
+        for place in affected_watches(command, self.watching.names):
             if some := self.watching.pop_all(place):
                 for item in some:
-                    left_ms = max(1, (item.until_us - self._now_us) // 1000)
-                    self._asked[item.tag] = msgspec.structs.replace(item.request, wait_ms=left_ms)
-                self._reads += [item.tag for item in some]
+                    left_ms = max(1, (item.deadline_us - self._now_us) // 1000)
+                    self._requests[item.tag] = msgspec.structs.replace(item.request, wait_ms=left_ms)
+                self._pending_reads += [item.tag for item in some]
 
-    def _readable(self, tag: int) -> None:
-        request = self._asked.get(tag)
+    def _answer_read(self, tag: int) -> None:
+        request = self._requests.get(tag)
         if isinstance(request, Read):
-            self._reply(tag, self._told(request.lease, request.key))
+            self._reply(tag, self._read_state(request.lease, request.key))
         elif isinstance(request, Watch):
-            told = self._told(request.lease, request.key)
+            told = self._read_state(request.lease, request.key)
             token = told.token if told.owner else 0
             same = (token, told.version) == (request.token, request.version)
             until_us = self._now_us + request.wait_ms * 1000
             if not same or not request.wait_ms:
                 self._reply(tag, told)
-            elif not self.watching.add(tag, place_of(request), request, until_us):
+            elif not self.watching.add(tag, watch_key(request), request, until_us):
                 self._reply(tag, NoRoom("too many watch"))
 
-    def _told(self, lease_name: str, key: str) -> Told:
+    def _read_state(self, lease_name: str, key: str) -> Told:
         lease = self.machine.state.leases.get(lease_name)
         item = self.machine.state.records.get(key)
         return Told(
             lease.owner if lease is not None else "",
             lease.token if lease is not None else 0,
-            self.left_ms(lease_name),
+            self.remaining_ms(lease_name),
             item.version if item is not None else 0,
             item.value if item is not None else b"",
         )
 
-    def left_ms(self, lease: str) -> int:
+    def remaining_ms(self, lease: str) -> int:
         """What a lease or its delay has left, as a leader knows; elsewhere 0."""
-        return self._clocks.remaining_us(self._now_us, lease) // 1000
+        return self._lease_timers.remaining_us(self._now_us, lease) // 1000
--- a/quorum/messages.py
+++ b/quorum/messages.py
@@ -30,7 +30,7 @@
     data: bytes = b""
 
 
-class AskVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """RequestVote; ``pre`` asks whether a vote would be given, and changes nothing (thesis, 9.6)."""
 
     term: int
@@ -40,15 +40,15 @@
     transfer: bool = False  # the leader itself wants it (thesis, 3.10)
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The answer to ``AskVote``."""
+class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """The answer to ``RequestVote``."""
 
     term: int
     granted: bool
     pre: bool = False
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """AppendEntries; ``round`` counts a leader's rounds, by which reads are confirmed (thesis, 6.4)."""
 
     term: int
@@ -59,7 +59,7 @@
     round: int
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class AppendResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """The answer: the log agrees up to ``match``, or the leader is to try again from there."""
 
     term: int
@@ -69,7 +69,7 @@
     full: bool = False  # its disk is full, or refuses
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """InstallSnapshot, in one piece: the state is bounded."""
 
     term: int
@@ -77,16 +77,16 @@
     round: int
 
 
-class TakeOver(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """TimeoutNow: the receiver is to stand for election at once."""
 
     term: int
 
 
-Message = AskVote | Vote | Append | Appended | Install | TakeOver
+Message = RequestVote | VoteResponse | AppendEntries | AppendResponse | InstallSnapshot | TimeoutNow
 
 
-class Hard(msgspec.Struct, frozen=True, array_like=True):
+class HardState(msgspec.Struct, frozen=True, array_like=True):
     """What has to outlast a crash beside the log."""
 
     term: int = 0
@@ -97,7 +97,7 @@
 class RecoveredState:
     """All that a member's disk gave back at its start."""
 
-    hard: Hard = field(default_factory=Hard)
+    hard: HardState = field(default_factory=HardState)
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: tuple[Entry, ...] = ()  # those after the snapshot
 
@@ -118,7 +118,7 @@
     """
 
     number: int
-    hard: Hard | None = None
+    hard: HardState | None = None
     first: int = 0
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
@@ -134,14 +134,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class SnapshotInstalled:
     """The state machine is to start anew from here."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
-class Readable:
+class ReadReady:
     """A read may be answered from the state machine as it stands now."""
 
     tag: int
@@ -155,4 +155,4 @@
     unknown: bool
 
 
-Action = Send | Persist | Committed | Restored | Readable | Dropped
+Action = Send | Persist | Committed | SnapshotInstalled | ReadReady | Dropped
--- a/quorum/metrics.py
+++ b/quorum/metrics.py
@@ -13,7 +13,7 @@
 SYNC_BUCKETS_S = (0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5)
 
 
-class Now(Collector):
+class HealthCollector(Collector):
     """How a member is when it is asked."""
 
     def __init__(self, health: Callable[[], Health]) -> None:
@@ -47,20 +47,22 @@
         yield lag
 
 
-class Figures:
+class ServerMetrics:
     """All of a member's."""
 
     def __init__(self, health: Callable[[], Health]) -> None:
         self._registry = CollectorRegistry()
-        self._registry.register(Now(health))
+        self._registry.register(HealthCollector(health))
         self.requests = Counter(
             "quorum_requests", "clients' requests, by answer", ["asked", "answer"], registry=self._registry
         )
-        self.leaders = Counter("quorum_leader_changes", "changes of leader seen", registry=self._registry)
-        self.refused = Counter(
+        self.leader_changes = Counter(
+            "quorum_leader_changes", "changes of leader seen", registry=self._registry
+        )
+        self.connections_refused = Counter(
             "quorum_connections_refused", "connections ended for what came", registry=self._registry
         )
-        self.synced = Histogram(
+        self.sync_seconds = Histogram(
             "quorum_sync_seconds",
             "time of a write to the disk",
             registry=self._registry,
--- a/quorum/service_logging.py
+++ b/quorum/service_logging.py
@@ -9,18 +9,18 @@
 import structlog
 
 
-class Lines:
+class TolerantStream:
     """A stream for the log; what it cannot take, on a full disk or a closed pipe, is left out and counted."""
 
     def __init__(self, stream: TextIO) -> None:
-        self._stream, self.left_out = stream, 0
+        self._stream, self.dropped_writes = stream, 0
 
     def write(self, text: str) -> int:
         """One line, or nothing: no service ends for its log."""
         try:
             return self._stream.write(text)
         except (OSError, ValueError):
-            self.left_out += 1
+            self.dropped_writes += 1
             return 0
 
     def flush(self) -> None:
@@ -28,7 +28,7 @@
         try:
             self._stream.flush()
         except (OSError, ValueError):
-            self.left_out += 1
+            self.dropped_writes += 1
 
 
 def configure_logging() -> None:
@@ -40,5 +40,5 @@
             structlog.processors.JSONRenderer(),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=lambda *_: structlog.WriteLogger(cast(TextIO, Lines(sys.stderr))),
+        logger_factory=lambda *_: structlog.WriteLogger(cast(TextIO, TolerantStream(sys.stderr))),
     )
--- a/quorum/state_machine.py
+++ b/quorum/state_machine.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from quorum.incarnations import MOST_SHUNNED
+from quorum.incarnations import MAX_SHUNNED_FOLDERS
 
-MOST_SESSIONS, MOST_LEASES, MOST_RECORDS = 8192, 4096, 4096
-MOST_NAME, MOST_VALUE = 128, 64 * 1024  # bytes of a name and of a record
-MOST_BYTES = 8 * 1024 * 1024  # of all records: the state has to pass in one frame
+MAX_SESSIONS, MAX_LEASES, MAX_RECORDS = 8192, 4096, 4096
+MAX_NAME_BYTES, MAX_VALUE_BYTES = 128, 64 * 1024  # bytes of a name and of a record
+MAX_RECORDS_BYTES = 8 * 1024 * 1024  # of all records: the state has to pass in one frame
 NO_SESSION = "no such session"
-RESTORED_TOKENS = 1_000_000_000  # more than any quorum gives between a copy and its restoration
+RESTORED_TOKEN_GAP = 1_000_000_000  # more than any quorum gives between a copy and its restoration
 MAX_TTL_MS, MIN_TTL_MS = 600_000, 100
-MOST_DELAY_MS = 600_000
+MAX_DELAY_MS = 600_000
 
 
 class Open(msgspec.Struct, frozen=True, tag="open"):
@@ -96,8 +96,8 @@
     folder: str
 
 
-Asked = Open | Close | Acquire | Renew | Release | Put
-Command = Asked | Expire | Free | Shun
+ClientCommand = Open | Close | Acquire | Renew | Release | Put
+Command = ClientCommand | Expire | Free | Shun
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
@@ -162,32 +162,32 @@
     shunned: list[str] = []  # folders, the latest last
 
 
-_COMMANDS = msgspec.msgpack.Decoder(Command)
-_STATES = msgspec.msgpack.Decoder(State)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
+_STATE_DECODER = msgspec.msgpack.Decoder(State)
 
 
-def command_of(data: bytes) -> Command:
+def decode_command(data: bytes) -> Command:
     """A command as it stands in the log; ``msgspec.DecodeError`` where it is none."""
-    return _COMMANDS.decode(data)
+    return _COMMAND_DECODER.decode(data)
 
 
-def fault_of(command: Command) -> str:
+def validation_error(command: Command) -> str:
     """What makes a command impossible whatever the state; empty where nothing does."""
     names = [getattr(command, name) for name in ("owner", "lease", "key") if hasattr(command, name)]
-    if any(len(name.encode()) > MOST_NAME for name in names):
-        return f"a name is over {MOST_NAME} bytes"
+    if any(len(name.encode()) > MAX_NAME_BYTES for name in names):
+        return f"a name is over {MAX_NAME_BYTES} bytes"
     if isinstance(command, Acquire):
         if not command.lease:
             return "a lease has a name"
         if not MIN_TTL_MS <= command.ttl_ms <= MAX_TTL_MS:
             return f"ttl_ms is from {MIN_TTL_MS} to {MAX_TTL_MS}"
-        if not 0 <= command.delay_ms <= MOST_DELAY_MS:
-            return f"delay_ms is from 0 to {MOST_DELAY_MS}"
+        if not 0 <= command.delay_ms <= MAX_DELAY_MS:
+            return f"delay_ms is from 0 to {MAX_DELAY_MS}"
     if isinstance(command, Put):
         if not command.key:
             return "a record has a name"
-        if len(command.value) > MOST_VALUE:
-            return f"a record is over {MOST_VALUE} bytes"
+        if len(command.value) > MAX_VALUE_BYTES:
+            return f"a record is over {MAX_VALUE_BYTES} bytes"
     return ""
 
 
@@ -196,14 +196,14 @@
     return isinstance(command, Open | Acquire) or (isinstance(command, Put) and bool(command.value))
 
 
-def restored(data: bytes) -> bytes:
+def prepare_restored_state(data: bytes) -> bytes:
     """The state of a copy that a new quorum begins from.
 
     What was given since the copy is not known: tokens go on far above it, sessions are over, and what was
     held is held by nobody for its full time and delay.
     """
-    state = _STATES.decode(data)
-    state.token += RESTORED_TOKENS
+    state = _STATE_DECODER.decode(data)
+    state.token += RESTORED_TOKEN_GAP
     state.sessions.clear()
     for lease in state.leases.values():
         lease.session, lease.owner, lease.delay_ms = 0, "", lease.delay_ms + lease.ttl_ms
@@ -223,11 +223,11 @@
 
     def restore(self, data: bytes) -> None:
         """Start anew from a snapshot; empty: from nothing."""
-        self.state = _STATES.decode(data) if data else State()
+        self.state = _STATE_DECODER.decode(data) if data else State()
 
     def apply(self, index: int, command: Command) -> Answer:
         """The command at that index; the same state and command give the same answer everywhere."""
-        if fault := fault_of(command):
+        if fault := validation_error(command):
             return Refused(fault)
         match command:
             case Open():
@@ -238,19 +238,19 @@
                 return self._free(command)
             case Shun():
                 others = [folder for folder in self.state.shunned if folder != command.folder]
-                self.state.shunned = [*others, command.folder][-MOST_SHUNNED:]
+                self.state.shunned = [*others, command.folder][-MAX_SHUNNED_FOLDERS:]
                 return Done()
             case _:
-                return self._once(index, command)
+                return self._apply_once(index, command)
 
     def _open(self, index: int, command: Open) -> Answer:
         sessions = self.state.sessions
-        if len(sessions) >= MOST_SESSIONS and not self._forget():
-            return Refused(f"there are {MOST_SESSIONS} sessions that hold leases")
+        if len(sessions) >= MAX_SESSIONS and not self._evict_idle_session():
+            return Refused(f"there are {MAX_SESSIONS} sessions that hold leases")
         sessions[index] = Session(command.owner, index)
         return Done(session=index)
 
-    def _forget(self) -> bool:
+    def _evict_idle_session(self) -> bool:
         """Drop the session that was used longest ago among those without a lease; False where none is."""
         holders = {lease.session for lease in self.state.leases.values()}
         idle = [(item.used, number) for number, item in self.state.sessions.items() if number not in holders]
@@ -259,7 +259,7 @@
         del self.state.sessions[min(idle)[1]]
         return True
 
-    def _once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
+    def _apply_once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
         """A session's command: a repeat of the last gets its answer again, an older one none."""
         session = self.state.sessions.get(command.session)
         if session is None:
@@ -269,22 +269,24 @@
         if command.seq < session.seq:
             return Refused("older than the session's last")
         session.used = index
-        answer = self._change(session, command)
+        answer = self._apply_session_command(session, command)
         session.seq, session.answer = command.seq, answer
         return answer
 
-    def _change(self, session: Session, command: Close | Acquire | Renew | Release | Put) -> Answer:
+    def _apply_session_command(
+        self, session: Session, command: Close | Acquire | Renew | Release | Put
+    ) -> Answer:
         match command:
             case Acquire():
                 return self._acquire(session, command)
             case Renew():
-                lease = self._in_force(command.lease, command.token, command.session)
+                lease = self._lease_in_force(command.lease, command.token, command.session)
                 if lease is None:
                     return Refused("the lease has passed on")
                 lease.beat += 1
                 return Done(token=lease.token)
             case Release():
-                if self._in_force(command.lease, command.token, command.session) is None:
+                if self._lease_in_force(command.lease, command.token, command.session) is None:
                     return Refused("the lease has passed on")
                 del self.state.leases[command.lease]
                 return Done(token=command.token)
@@ -297,7 +299,7 @@
                 del self.state.sessions[command.session]
                 return Done()
 
-    def _in_force(self, name: str, token: int, session: int | None = None) -> Lease | None:
+    def _lease_in_force(self, name: str, token: int, session: int | None = None) -> Lease | None:
         lease = self.state.leases.get(name)
         if lease is None or not lease.session or lease.token != token:
             return None
@@ -307,8 +309,8 @@
         lease = self.state.leases.get(command.lease)
         if lease is not None:
             return Held(lease.owner if lease.session else "", lease.token)
-        if len(self.state.leases) >= MOST_LEASES:
-            return Refused(f"there are {MOST_LEASES} leases")
+        if len(self.state.leases) >= MAX_LEASES:
+            return Refused(f"there are {MAX_LEASES} leases")
         token = self._next_token()
         self.state.leases[command.lease] = Lease(
             command.session, session.owner, token, command.ttl_ms, command.delay_ms
@@ -321,7 +323,7 @@
         return self.state.token
 
     def _put(self, command: Put) -> Answer:
-        if command.lease and self._in_force(command.lease, command.token) is None:
+        if command.lease and self._lease_in_force(command.lease, command.token) is None:
             return Refused("the lease has passed on")
         records = self.state.records
         item = records.get(command.key)
@@ -333,10 +335,10 @@
             records.pop(command.key, None)
             self.state.bytes += more
             return Done(version=0)
-        if item is None and len(records) >= MOST_RECORDS:
-            return Refused(f"there are {MOST_RECORDS} records")
-        if self.state.bytes + more > MOST_BYTES:
-            return Refused(f"all records together would be over {MOST_BYTES} bytes")
+        if item is None and len(records) >= MAX_RECORDS:
+            return Refused(f"there are {MAX_RECORDS} records")
+        if self.state.bytes + more > MAX_RECORDS_BYTES:
+            return Refused(f"all records together would be over {MAX_RECORDS_BYTES} bytes")
         self.state.bytes += more
         # A record that comes again under its name goes on counting: tokens are never given twice either.
         self.state.token += item is None
@@ -344,7 +346,7 @@
         return Done(version=records[command.key].version)
 
     def _expire(self, command: Expire) -> Answer:
-        lease = self._in_force(command.lease, command.token)
+        lease = self._lease_in_force(command.lease, command.token)
         if lease is None or lease.beat != command.beat:
             return Refused("renewed or passed on")
         if lease.delay_ms:
--- a/quorum/store.py
+++ b/quorum/store.py
@@ -23,11 +23,11 @@
 
 from quorum.incarnations import Incarnation
 from quorum.log import Log
-from quorum.messages import Entry, Hard, Persist, RecoveredState, Snapshot
+from quorum.messages import Entry, HardState, Persist, RecoveredState, Snapshot
 
-HEAD = struct.Struct("<II")  # length and CRC-32 of what follows
-FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)  # what a disk says that is full
-MOST_RECORD = 64 * 1024 * 1024  # bytes; a length beyond is none
+RECORD_HEADER = struct.Struct("<II")  # length and CRC-32 of what follows
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)  # what a disk says that is full
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # bytes; a length beyond is none
 
 
 class StoreError(RuntimeError):
@@ -37,16 +37,16 @@
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
     """One record."""
 
-    hard: Hard | None = None
+    hard: HardState | None = None
     first: int = 0
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
 
 
-_DECODER = msgspec.msgpack.Decoder(LogRecord)
+_RECORD_DECODER = msgspec.msgpack.Decoder(LogRecord)
 
 
-class Known(msgspec.Struct, frozen=True):
+class KnownIncarnations(msgspec.Struct, frozen=True):
     """The file ``lives``: this folder's name, the starts in it, and the others' lives."""
 
     folder: str
@@ -59,7 +59,7 @@
     """What some writes in a row come to."""
 
     def __init__(self) -> None:
-        self._hard, self._log = Hard(), Log(Snapshot(), ())
+        self._hard, self._log = HardState(), Log(Snapshot(), ())
 
     def add(self, written: Persist | LogRecord) -> None:
         """One more write."""
@@ -68,7 +68,7 @@
         if written.snapshot is not None:
             self._log.compact(written.snapshot)
         if written.first:
-            self._log.replace(written.first, written.entries)
+            self._log.replace_from(written.first, written.entries)
 
     @property
     def saved(self) -> RecoveredState:
@@ -81,37 +81,37 @@
 def encode_record(written: LogRecord) -> bytes:
     """A record as it stands in the file."""
     body = msgspec.msgpack.encode(written)
-    return HEAD.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def read_records(data: bytes) -> tuple[list[LogRecord], int]:
     """The records of a file and where they end; ``StoreError`` where one is broken before others."""
     found, at = list[LogRecord](), 0
-    while at + HEAD.size <= len(data):
-        size, checksum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + size]
-        if size > MOST_RECORD or len(body) < size or zlib.crc32(body) != checksum:
+    while at + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, at)
+        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+        if size > MAX_RECORD_BYTES or len(body) < size or zlib.crc32(body) != checksum:
             break
         try:
-            found.append(_DECODER.decode(body))
+            found.append(_RECORD_DECODER.decode(body))
         except msgspec.DecodeError as error:
             raise StoreError(f"a record at byte {at} cannot be read: {error}") from None
-        at += HEAD.size + size
-    if _whole_behind(data, at):
+        at += RECORD_HEADER.size + size
+    if _intact_record_follows(data, at):
         raise StoreError(f"the record at byte {at} is damaged, and others stand behind it")
     return found, at
 
 
-def _whole_behind(data: bytes, at: int) -> bool:
+def _intact_record_follows(data: bytes, at: int) -> bool:
     """Whether a broken record is followed by a whole one, which a torn end is not."""
-    if at + HEAD.size > len(data):
+    if at + RECORD_HEADER.size > len(data):
         return False
-    size = int(HEAD.unpack_from(data, at)[0])
-    behind = at + HEAD.size + size
-    if size > MOST_RECORD or behind + HEAD.size > len(data):
+    size = int(RECORD_HEADER.unpack_from(data, at)[0])
+    behind = at + RECORD_HEADER.size + size
+    if size > MAX_RECORD_BYTES or behind + RECORD_HEADER.size > len(data):
         return False
-    size, checksum = HEAD.unpack_from(data, behind)
-    body = data[behind + HEAD.size : behind + HEAD.size + size]
+    size, checksum = RECORD_HEADER.unpack_from(data, behind)
+    body = data[behind + RECORD_HEADER.size : behind + RECORD_HEADER.size + size]
     return bool(size) and len(body) == size and zlib.crc32(body) == int(checksum)
 
 
@@ -152,55 +152,55 @@
 
     def __init__(self, folder: Path, reserve_bytes: int = 0) -> None:
         """Open a folder; ``StoreError`` where it cannot be used, and where a torn end cannot be cut off."""
-        self._folder, self._path, self._reserve_bytes = folder, folder / "log", reserve_bytes
+        self._folder, self._log_path, self._reserve_bytes = folder, folder / "log", reserve_bytes
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            self._lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            data = self._path.read_bytes() if self._path.exists() else b""
+            self._lock_file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
+            fcntl.flock(self._lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            data = self._log_path.read_bytes() if self._log_path.exists() else b""
             records, end = read_records(data)
-            self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+            self._file = os.open(self._log_path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
             if end < len(data):
                 os.ftruncate(self._file, end)
                 os.fsync(self._file)
-            self._begin_life()
+            self._start_incarnation()
             sync_folder(folder)
         except BlockingIOError:
             raise StoreError(f"{folder}: another process runs on this folder") from None
         except OSError as error:
-            raise StoreError(f"{self._path}: {error.strerror}") from error
+            raise StoreError(f"{self._log_path}: {error.strerror}") from error
         folded = LogReplay()
         for record in records:
             folded.add(record)
         self.saved = folded.saved  # what a member starts from
-        self._size, self._busy, self._closed = end, threading.Lock(), False
-        self.reserved = self.make_reserve()
+        self._size_bytes, self._io_lock, self._closed = end, threading.Lock(), False
+        self.reserved = self.allocate_reserve()
 
-    def _begin_life(self) -> None:
+    def _start_incarnation(self) -> None:
         path = self._folder / "lives"
         try:
-            known = msgspec.json.decode(path.read_bytes(), type=Known)
+            known = msgspec.json.decode(path.read_bytes(), type=KnownIncarnations)
         except FileNotFoundError:
-            if self._path.stat().st_size:
+            if self._log_path.stat().st_size:
                 raise StoreError(f"{path}: there is a log and not this") from None
-            known = Known(secrets.token_hex(8), 0, {})
+            known = KnownIncarnations(secrets.token_hex(8), 0, {})
         except msgspec.DecodeError as error:
             raise StoreError(f"{path}: {error}") from None
-        self.life = Incarnation(known.folder, known.start + 1, secrets.token_hex(8))
-        self.know(known.lives, known.shunned)
+        self.incarnation = Incarnation(known.folder, known.start + 1, secrets.token_hex(8))
+        self.save_incarnations(known.lives, known.shunned)
 
-    def know(self, lives: dict[str, Incarnation], shunned: tuple[str, ...]) -> None:
+    def save_incarnations(self, lives: dict[str, Incarnation], shunned: tuple[str, ...]) -> None:
         """Make durable whose lives are heard; ``OSError`` where the disk refuses, and the old ones stand."""
-        known = Known(self.life.folder, self.life.start, lives, shunned)
+        known = KnownIncarnations(self.incarnation.folder, self.incarnation.start, lives, shunned)
         os.close(replace_file(self._folder / "lives", msgspec.json.encode(known)))
-        self.lives, self.shunned = lives, shunned
+        self.incarnations, self.shunned = lives, shunned
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """The size of the log's file."""
-        return self._size
+        return self._size_bytes
 
-    def make_reserve(self) -> bool:
+    def allocate_reserve(self) -> bool:
         """Take room beforehand; whether it is there."""
         if not self._reserve_bytes:
             return True
@@ -211,12 +211,12 @@
             finally:
                 os.close(handle)
         except OSError:
-            self.give_up_reserve()
+            self.release_reserve()
             return False
         self.reserved = True
         return True
 
-    def give_up_reserve(self) -> bool:
+    def release_reserve(self) -> bool:
         """Let go of that room; whether there was any."""
         had, self.reserved = getattr(self, "reserved", False) and bool(self._reserve_bytes), False
         with suppress(OSError):
@@ -230,30 +230,30 @@
         data = b"".join(
             encode_record(LogRecord(item.hard, item.first, item.entries, item.snapshot)) for item in some
         )
-        with self._busy:
+        with self._io_lock:
             if self._closed:
                 raise OSError(errno.EBADF, "closed")
             self._write(data, whole is not None)
 
     def _write(self, data: bytes, whole: bool) -> None:
         if whole:
-            handle = replace_file(self._path, data)
+            handle = replace_file(self._log_path, data)
             os.close(self._file)
-            self._file, self._size = handle, len(data)
+            self._file, self._size_bytes = handle, len(data)
             return
         try:
             write_whole(self._file, data)
         except OSError:
-            os.ftruncate(self._file, self._size)  # half a record before others would be damage
+            os.ftruncate(self._file, self._size_bytes)  # half a record before others would be damage
             raise
-        self._size += len(data)
+        self._size_bytes += len(data)
 
     def close(self) -> None:
         """Let go of the folder, once a write that is under way has ended."""
-        with self._busy:
+        with self._io_lock:
             self._closed = True
             os.close(self._file)
-            os.close(self._lock)
+            os.close(self._lock_file)
 
 
 def restore(folder: Path, snapshot: Snapshot) -> None:
@@ -262,7 +262,7 @@
         raise StoreError(f"{folder}: the folder is not empty")
     store = Store(folder)
     try:
-        store.write([Persist(1, Hard(snapshot.term, ""), snapshot.index + 1, (), snapshot)])
+        store.write([Persist(1, HardState(snapshot.term, ""), snapshot.index + 1, (), snapshot)])
     except OSError as error:
         raise StoreError(f"{folder}: {error.strerror}") from error
     finally:
--- a/quorum/tasks.py
+++ b/quorum/tasks.py
@@ -23,10 +23,10 @@
 from tomlconfig import Address
 
 LOG = structlog.get_logger("quorum.tasks")
-ASK_S = 5.0  # s for an answer of the quorum, before it is tried anew with another session
-AGAIN_S = (0.1, 5.0)  # s between tries without a quorum: at first, and at most
-MOST_TURN_MS = 20_000  # of waiting in turn, before it is asked anew
-MOST_ERRORS = 3  # steps in a row that fail before another process is let try
+REQUEST_TIMEOUT_S = 5.0  # s for an answer of the quorum, before it is tried anew with another session
+RETRY_PAUSES_S = (0.1, 5.0)  # s between tries without a quorum: at first, and at most
+MAX_QUEUE_WAIT_MS = 20_000  # of waiting in turn, before it is asked anew
+MAX_CONSECUTIVE_ERRORS = 3  # steps in a row that fail before another process is let try
 T = TypeVar("T")
 
 
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class RunnerCounts:
     """What a runner has seen."""
 
     taken: int = 0  # leases
@@ -70,11 +70,11 @@
 
     def __init__(self, members: Mapping[str, Address], owner: str, task: Task, *, terms: TaskTerms) -> None:
         self._random = Random()
-        self._task, self._terms, self._place = task, terms, f"task/{terms.name}"
+        self._task, self._terms, self._resource = task, terms, f"task/{terms.name}"
         # Two sessions: a renewal must not wait behind a record.
-        self._leases, self._records = Client(members, owner), Client(members, owner)
+        self._lease_client, self._record_client = Client(members, owner), Client(members, owner)
         self._keeper: LeaseKeeper | None = None
-        self.counts = Count()
+        self.counts = RunnerCounts()
 
     @property
     def token(self) -> int:
@@ -83,30 +83,32 @@
 
     async def run(self, over: asyncio.Event) -> None:
         """Take part until that is set; then give the lease back in order."""
-        pause_s = AGAIN_S[0]
+        pause_s = RETRY_PAUSES_S[0]
         while not over.is_set():
             try:
-                await self._turn(over)
-                pause_s = AGAIN_S[0]
+                await self._acquire_and_work(over)
+                pause_s = RETRY_PAUSES_S[0]
             except QuorumError as error:
                 LOG.warning("no quorum", task=self._terms.name, why=str(error))
-                await self._unless(over, asyncio.sleep(pause_s * self._random.uniform(0.5, 1.5)))
-                pause_s = min(2 * pause_s, AGAIN_S[1])
-        for client in (self._leases, self._records):
+                await self._run_unless_stopped(over, asyncio.sleep(pause_s * self._random.uniform(0.5, 1.5)))
+                pause_s = min(2 * pause_s, RETRY_PAUSES_S[1])
+        for client in (self._lease_client, self._record_client):
             try:
-                await client.end_session(ASK_S)
+                await client.end_session(REQUEST_TIMEOUT_S)
             except QuorumError:
                 client.close()
 
-    async def _turn(self, over: asyncio.Event) -> None:
+    async def _acquire_and_work(self, over: asyncio.Event) -> None:
         """Wait for the lease and do the task while it lasts."""
-        for client in (self._leases, self._records):
+        for client in (self._lease_client, self._record_client):
             if not client.has_session:
-                await client.open(ASK_S)
-        self._keeper = keeper = LeaseKeeper(self._leases, self._place, self._terms.ttl_ms, self._terms.bounds)
-        wait_ms = min(10 * self._terms.ttl_ms, MOST_TURN_MS)
-        waits = keeper.acquire(wait_ms, ASK_S + wait_ms / 1000, self._terms.delay_ms)
-        if not await self._unless(over, waits):
+                await client.open(REQUEST_TIMEOUT_S)
+        self._keeper = keeper = LeaseKeeper(
+            self._lease_client, self._resource, self._terms.ttl_ms, self._terms.bounds
+        )
+        wait_ms = min(10 * self._terms.ttl_ms, MAX_QUEUE_WAIT_MS)
+        waits = keeper.acquire(wait_ms, REQUEST_TIMEOUT_S + wait_ms / 1000, self._terms.delay_ms)
+        if not await self._run_unless_stopped(over, waits):
             return
         self.counts.taken += 1
         LOG.info("task taken", task=self._terms.name, token=keeper.held_lease.token)
@@ -117,20 +119,20 @@
             keeping.cancel()
             await asyncio.gather(keeping, return_exceptions=True)
             if keeper.may_act():
-                await keeper.release(ASK_S)
+                await keeper.release(REQUEST_TIMEOUT_S)
             else:
                 self.counts.lost += 1
                 LOG.warning("task lost", task=self._terms.name)
 
     async def _work(self, keeper: LeaseKeeper, over: asyncio.Event) -> None:
-        told = await self._records.read(ASK_S, key=self._place)
+        told = await self._record_client.read(REQUEST_TIMEOUT_S, key=self._resource)
         version, state, errors = told.version, told.value, 0
-        while keeper.may_act() and not over.is_set() and errors < MOST_ERRORS:
+        while keeper.may_act() and not over.is_set() and errors < MAX_CONSECUTIVE_ERRORS:
             token = keeper.held_lease.token
             try:
-                step = await self._covered(keeper, over, self._task.step(state, token))
+                step = await self._run_while_held(keeper, over, self._task.step(state, token))
             except Exception as error:  # whatever a task does, the runner goes on
-                errors, step = errors + 1, StepResult(b"", AGAIN_S[0] * 2**errors)
+                errors, step = errors + 1, StepResult(b"", RETRY_PAUSES_S[0] * 2**errors)
                 self.counts.errors += 1
                 LOG.error("a step failed", task=self._terms.name, why=repr(error))
             else:
@@ -138,8 +140,13 @@
             if step is None:
                 return
             if step.state and step.state != state:
-                answer = await self._records.put(
-                    self._place, version, step.state, lease=self._place, token=token, within_s=ASK_S
+                answer = await self._record_client.put(
+                    self._resource,
+                    version,
+                    step.state,
+                    lease=self._resource,
+                    token=token,
+                    within_s=REQUEST_TIMEOUT_S,
                 )
                 if not isinstance(answer, Done):
                     keeper.held_lease.lost()
@@ -147,9 +154,9 @@
                     return
                 version, state = answer.version, step.state
             self.counts.steps += not errors
-            await self._covered(keeper, over, asyncio.sleep(step.pause_s))
+            await self._run_while_held(keeper, over, asyncio.sleep(step.pause_s))
 
-    async def _covered(
+    async def _run_while_held(
         self, keeper: LeaseKeeper, over: asyncio.Event, work: Coroutine[Any, Any, T]
     ) -> T | None:
         """Do something while the lease lasts; None where it was cut off, in time before the end."""
@@ -157,10 +164,10 @@
         def left_s() -> float:
             return (keeper.held_lease.stop_us - now_us()) / 1e6 if keeper.may_act() else 0.0
 
-        return await self._unless(over, work, left_s)
+        return await self._run_unless_stopped(over, work, left_s)
 
     @staticmethod
-    async def _unless(
+    async def _run_unless_stopped(
         over: asyncio.Event, work: Coroutine[Any, Any, T], left_s: Callable[[], float | None] = lambda: None
     ) -> T | None:
         """Do something unless the end comes before, or no time is left; then None. ``left_s`` may grow."""
--- a/quorum/wire.py
+++ b/quorum/wire.py
@@ -12,11 +12,11 @@
 from quorum.member import Request, Response
 from quorum.messages import Message, Snapshot
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 LENGTH_PREFIX = struct.Struct(">I")
-MOST_FRAME = 16 * 1024 * 1024  # bytes of a member's frame: a whole snapshot
-MOST_ASKED = 128 * 1024  # bytes of a client's frame
-HELLO_S, FRAME_S = 2.0, 5.0  # s for a first frame, and for a frame once it has begun
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # bytes of a member's frame: a whole snapshot
+MAX_CLIENT_FRAME_BYTES = 128 * 1024  # bytes of a client's frame
+HELLO_TIMEOUT_S, FRAME_TIMEOUT_S = 2.0, 5.0  # s for a first frame, and for a frame once it has begun
 T = TypeVar("T")
 
 
@@ -78,7 +78,7 @@
     remove: str = ""
 
 
-Asked = Ask | Status | Leases | Copy | StepDown | Change
+ClientMessage = Ask | Status | Leases | Copy | StepDown | Change
 
 
 class Told(msgspec.Struct, frozen=True, tag="told"):
@@ -116,7 +116,7 @@
         return bool(self.leader)
 
 
-class LeaseLine(msgspec.Struct, frozen=True, array_like=True):
+class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
     """One lease; ``left_ms`` is known to a leader alone, and without owner it is its delay that runs."""
 
     name: str
@@ -132,7 +132,7 @@
 
     number: int
     leads: bool
-    leases: tuple[LeaseLine, ...]
+    leases: tuple[LeaseStatus, ...]
 
 
 class Copied(msgspec.Struct, frozen=True, tag="copied"):
@@ -142,13 +142,13 @@
     snapshot: Snapshot
 
 
-Answer = Told | Health | Listed | Copied
+ServerMessage = Told | Health | Listed | Copied
 
 hello_decoder = msgspec.msgpack.Decoder(Hello)
 turned_decoder = msgspec.msgpack.Decoder(Turned)
 message_decoder = msgspec.msgpack.Decoder(Message)
-client_message_decoder = msgspec.msgpack.Decoder(Asked)
-answer_decoder = msgspec.msgpack.Decoder(Answer)
+client_message_decoder = msgspec.msgpack.Decoder(ClientMessage)
+server_message_decoder = msgspec.msgpack.Decoder(ServerMessage)
 
 
 def encode_frame(item: msgspec.Struct) -> bytes:
@@ -166,13 +166,13 @@
         async with asyncio.timeout(first_s):
             first = await reader.readexactly(1)
         try:
-            async with asyncio.timeout(FRAME_S):
+            async with asyncio.timeout(FRAME_TIMEOUT_S):
                 size = LENGTH_PREFIX.unpack(first + await reader.readexactly(LENGTH_PREFIX.size - 1))[0]
                 if not 0 < size <= most:
                     raise WireError(f"a frame of {size} bytes")
                 return await reader.readexactly(size)
         except TimeoutError:
-            raise WireError(f"a frame that does not end within {FRAME_S:g} s") from None
+            raise WireError(f"a frame that does not end within {FRAME_TIMEOUT_S:g} s") from None
     except asyncio.IncompleteReadError as error:
         if error.partial or error.expected != 1:
             raise WireError("a frame was cut off") from None
--- a/tests/quorum/planted_bugs.py
+++ b/tests/quorum/planted_bugs.py
@@ -10,20 +10,20 @@
 from fleetlab.sim.quorum import Parts
 from quorum.holder import Fence, HeldLease, RequestTiming
 from quorum.incarnations import Incarnation, IncarnationRegistry, StartupClaim
-from quorum.lease_timers import Clock, LeaseTimers
+from quorum.lease_timers import LeaseTimer, LeaseTimers
 from quorum.messages import (
     COMMAND,
     Action,
-    Appended,
-    AskVote,
+    AppendResponse,
     Entry,
-    Hard,
+    HardState,
     Message,
-    Readable,
+    ReadReady,
+    RequestVote,
     Send,
-    Vote,
+    VoteResponse,
 )
-from quorum.raft import Leading, Raft
+from quorum.raft import LeaderState, Raft
 from quorum.state_machine import (
     Acquire,
     Answer,
@@ -41,28 +41,28 @@
 class VoteNotSynced(Raft):
     """A vote is told before it is on the disk."""
 
-    def _promise(self, to: str, message: Message) -> None:
-        if isinstance(message, Vote | AskVote):
+    def _send_after_sync(self, to: str, message: Message) -> None:
+        if isinstance(message, VoteResponse | RequestVote):
             self._emit(Send(to, message))
         else:
-            super()._promise(to, message)
+            super()._send_after_sync(to, message)
 
 
 class AppendNotSynced(Raft):
     """Entries are acknowledged before they are on the disk."""
 
-    def _promise(self, to: str, message: Message) -> None:
-        if isinstance(message, Appended):
+    def _send_after_sync(self, to: str, message: Message) -> None:
+        if isinstance(message, AppendResponse):
             self._emit(Send(to, message))
         else:
-            super()._promise(to, message)
+            super()._send_after_sync(to, message)
 
 
 class VoteForgotten(Raft):
     """The term is kept, the vote is not."""
 
-    def _save_hard(self) -> None:
-        self._persist(hard=Hard(self.term, ""))
+    def _persist_hard_state(self) -> None:
+        self._persist(hard=HardState(self.term, ""))
 
 
 class OlderTermCommitted(Raft):
@@ -75,7 +75,7 @@
 class VoteForAnyLog(Raft):
     """Votes without a look at the asker's log."""
 
-    def _up_to_date(self, message: AskVote) -> bool:
+    def _is_up_to_date(self, message: RequestVote) -> bool:
         return True
 
 
@@ -92,45 +92,45 @@
 class ReplacesAll(Raft):
     """An old message takes away entries that it does not speak of."""
 
-    def _take(self, previous: int, entries: tuple[Entry, ...]) -> None:
+    def _store_entries(self, previous: int, entries: tuple[Entry, ...]) -> None:
         if previous + 1 <= self.log.last_index:
-            self.log.replace(previous + 1, entries)
+            self.log.replace_from(previous + 1, entries)
             self._persist(first=previous + 1, entries=entries)
             return
-        super()._take(previous, entries)
+        super()._store_entries(previous, entries)
 
 
 class NoPreVote(Raft):
     """Stands for election without asking whether it would be voted for."""
 
-    def _stand(self, pre: bool, transfer: bool = False) -> None:
-        super()._stand(False, transfer)
+    def _start_election(self, pre: bool, transfer: bool = False) -> None:
+        super()._start_election(False, transfer)
 
 
 class StaleRead(Raft):
     """A leader answers reads without asking whether it still is one."""
 
-    def _confirm(self, leading: Leading) -> None:
-        if self.commit < leading.first:
+    def _confirm_reads(self, leader_state: LeaderState) -> None:
+        if self.commit < leader_state.first_index:
             return
-        for tag, _ in leading.reads:
-            self._emit(Readable(tag))
-        leading.reads = []
+        for tag, _ in leader_state.pending_reads:
+            self._emit(ReadReady(tag))
+        leader_state.pending_reads = []
 
 
 class ReadsTooSoon(Raft):
     """A new leader answers reads before it knows what was committed."""
 
-    def _confirm(self, leading: Leading) -> None:
-        leading.first, first = 0, leading.first
-        super()._confirm(leading)
-        leading.first = first
+    def _confirm_reads(self, leader_state: LeaderState) -> None:
+        leader_state.first_index, first = 0, leader_state.first_index
+        super()._confirm_reads(leader_state)
+        leader_state.first_index = first
 
 
 class MembersAtOnce(Raft):
     """Changes of membership may overlap."""
 
-    def _may_change(self, leading: Leading, members: tuple[str, ...]) -> bool:
+    def _is_valid_change(self, leader_state: LeaderState, members: tuple[str, ...]) -> bool:
         return len(members) > 0
 
 
@@ -153,18 +153,20 @@
 class RepeatsCount(StateMachine):
     """A request that is repeated is done again."""
 
-    def _once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
+    def _apply_once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
         session = self.state.sessions.get(command.session)
         if session is not None:
             session.seq = -1
-        return super()._once(index, command)
+        return super()._apply_once(index, command)
 
 
 class ExpiresRenewed(StateMachine):
     """The end of a lease's time counts also where it was renewed meanwhile."""
 
-    def _change(self, session: Session, command: Close | Acquire | Renew | Release | Put) -> Answer:
-        answer = super()._change(session, command)
+    def _apply_session_command(
+        self, session: Session, command: Close | Acquire | Renew | Release | Put
+    ) -> Answer:
+        answer = super()._apply_session_command(session, command)
         if isinstance(command, Renew) and command.lease in self.state.leases:
             self.state.leases[command.lease].beat = 0
         return answer
@@ -180,20 +182,20 @@
 class ClocksGoOn(LeaseTimers):
     """A leader goes on with the clocks that it kept from the last time it led."""
 
-    _kept: Mapping[str, Clock] = {}
+    _kept: Mapping[str, LeaseTimer] = {}
 
     def clear(self) -> None:
-        self._kept = dict(self._running)
+        self._kept = dict(self._timers)
         super().clear()
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         super().begin(now_us, leases)
         for name, clock in self._kept.items():
             if name in leases:
-                end = clock.end
+                end = clock.end_command
                 if isinstance(end, Expire):
                     end = replace(end, beat=max(end.beat, leases[name].beat))
-                self._set(name, Clock(clock.due_us, end))
+                self._set_timer(name, LeaseTimer(clock.due_us, end))
 
 
 class OldCopyHeard(IncarnationRegistry):
@@ -207,18 +209,18 @@
     """A leader takes on what can wait though no majority has room for it."""
 
     @property
-    def roomy(self) -> bool:
+    def majority_has_room(self) -> bool:
         return True
 
 
 class RefusalsAnswered(Raft):
     """Each refusal is answered with entries."""
 
-    def _appended(self, sender: str, message: Appended) -> None:
-        super()._appended(sender, message)
+    def _handle_append_response(self, sender: str, message: AppendResponse) -> None:
+        super()._handle_append_response(sender, message)
         if self.leader_state is not None and not message.ok and sender in self.leader_state.followers:
             follower = self.leader_state.followers[sender]
-            follower.next, follower.probing = message.match + 1, False
+            follower.next_index, follower.probing = message.match + 1, False
             self._send_entries(self.leader_state, sender)
 
 
@@ -234,22 +236,22 @@
 class CountedFromAnswer(HeldLease):
     """A lease counts from when its answer came."""
 
-    def _counted_us(self, sent_us: int, heard_us: int) -> int:
-        return super()._counted_us(heard_us, heard_us)
+    def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
+        return super()._lease_end_us(heard_us, heard_us)
 
 
 class DriftOnce(HeldLease):
     """Only one of the two clocks is thought to drift."""
 
-    def _counted_us(self, sent_us: int, heard_us: int) -> int:
-        return sent_us + int(self._ttl_us * (1 - self._bounds.drift))
+    def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
+        return sent_us + int(self._ttl_us * (1 - self._bounds.max_drift))
 
 
 class LateRenewal(HeldLease):
     """A renewal that comes when the lease is over brings it back."""
 
-    def _late(self, now_us: int) -> bool:
-        self._over = False
+    def _is_late(self, now_us: int) -> bool:
+        self._ended = False
         return False
 
 
@@ -257,7 +259,7 @@
     """A lease counts from the last repeat of its request."""
 
     def record_sent(self, now_us: int) -> None:
-        self._first_us = now_us
+        self._first_sent_us = now_us
 
 
 class NoFence(Fence):
--- a/tests/quorum/servers.py
+++ b/tests/quorum/servers.py
@@ -15,7 +15,7 @@
 import pytest
 
 from quorum import store
-from quorum.client import Client, QuorumError, leader_of, member_status
+from quorum.client import Client, QuorumError, find_leader, member_status
 from quorum.config import Config, Times
 from quorum.server import Server
 from quorum.wire import Health
@@ -86,7 +86,7 @@
 
         async def led() -> bool:
             try:
-                found.append(await leader_of({name: self.members[name] for name in self.up}))
+                found.append(await find_leader({name: self.members[name] for name in self.up}))
             except QuorumError:
                 return False
             health = await member_status(found[-1])
--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -10,9 +10,19 @@
 from fleetlab.sim.quorum import Parts
 from quorum.incarnations import Incarnation, StartupClaim
 from quorum.member import Elsewhere, Member, Output, Read, Reply, Request, Response, Told, Unknown
-from quorum.messages import NOOP, Append, Appended, AskVote, Entry, Message, Persist, Send, Vote
+from quorum.messages import (
+    NOOP,
+    AppendEntries,
+    AppendResponse,
+    Entry,
+    Message,
+    Persist,
+    RequestVote,
+    Send,
+    VoteResponse,
+)
 from quorum.raft import Role, Timing
-from quorum.state_machine import Acquire, Done, Expire, Open, Put, Renew, command_of
+from quorum.state_machine import Acquire, Done, Expire, Open, Put, Renew, decode_command
 from quorum.store import LogReplay
 from tests.quorum.planted_bugs import BUGS
 
@@ -99,12 +109,12 @@
 def keeps_its_vote(parts: Parts) -> bool:
     """A member that voted, and came back, gives no second vote in that term."""
     bench = Bench(3, parts)
-    ask = AskVote(5, 0, 0)
+    ask = RequestVote(5, 0, 0)
     bench.did("m0", bench.members["m0"].receive(bench.now_us, "m1", ask))
     bench.start("m0")
     bench.mail.clear()
     bench.did("m0", bench.members["m0"].receive(bench.now_us, "m2", ask))
-    votes = [message for _, _, message in bench.mail if isinstance(message, Vote)]
+    votes = [message for _, _, message in bench.mail if isinstance(message, VoteResponse)]
     return [vote.granted for vote in votes] == [False]
 
 
@@ -135,8 +145,8 @@
     renew = bench.ask("m0", Renew(session, 2, "l", granted.token))
     end = msgspec.msgpack.encode(Expire("l", granted.token, 0))
     member = bench.members["m0"]
-    member._carry(member.raft.propose(bench.now_us, -9, end))
-    bench.did("m0", member._taken())
+    member._process_actions(member.raft.propose(bench.now_us, -9, end))
+    bench.did("m0", member._take_outputs())
     bench.settle()
     assert bench.replies[renew] == Done(token=granted.token)
     return "l" in bench.members["m0"].machine.state.leases
@@ -152,7 +162,9 @@
     bench.cut = {"m0", "m1"}
     bench.now_us += 1_000
     bench.wake("m4")
-    bench.settle(lambda sender, to, message: not isinstance(message, Append))  # its entry reaches nobody
+    bench.settle(
+        lambda sender, to, message: not isinstance(message, AppendEntries)
+    )  # its entry reaches nobody
     assert bench.members["m4"].raft.role is Role.LEADER
     bench.cut = {"m3", "m4"}
     for name in ("m0", "m1"):
@@ -161,7 +173,7 @@
     bench.wake("m0")
     # It leads again, and brings its old entry to a third member; its own term's entry comes to nobody.
     term = bench.members["m0"].raft.term
-    bench.settle(lambda sender, to, message: not isinstance(message, Append) or message.term <= term)
+    bench.settle(lambda sender, to, message: not isinstance(message, AppendEntries) or message.term <= term)
     member = bench.members["m0"]
     if member.raft.role is not Role.LEADER:  # a later term than m4's is needed
         bench.elect("m0")
@@ -203,7 +215,7 @@
 def votes_once_durable(parts: Parts) -> bool:
     """No vote leaves a member while its write is under way."""
     bench = Bench(3, parts)
-    return said(bench.members["m1"], bench.now_us, AskVote(3, 0, 0)) == []
+    return said(bench.members["m1"], bench.now_us, RequestVote(3, 0, 0)) == []
 
 
 def acknowledges_once_durable(parts: Parts) -> bool:
@@ -212,7 +224,7 @@
     bench.elect("m0")
     term = bench.members["m0"].raft.term
     last = bench.members["m1"].raft.log.last_index
-    append = Append(term, last, term, (Entry(term, NOOP),), 0, 9)
+    append = AppendEntries(term, last, term, (Entry(term, NOOP),), 0, 9)
     return said(bench.members["m1"], bench.now_us, append) == []
 
 
@@ -235,16 +247,16 @@
     lives = parts.lives("m0", {})
     first, second = Incarnation("f", 1, "a"), Incarnation("f", 2, "b")
     lives.accept("m1", first)
-    lives.record_message("m1", Vote(5, True))
-    lives.record_message("m1", Appended(5, True, 9, 1))
+    lives.record_message("m1", VoteResponse(5, True))
+    lives.record_message("m1", AppendResponse(5, True, 9, 1))
     heard = [StartupClaim(5, "m0", 9), StartupClaim(5, "m0", 12), StartupClaim(6, "", 3)]
     assert all(not parts.lives("m0", {}).rejection_reason("m1", second, claim) for claim in heard)
     assert all(not lives.rejection_reason("m1", second, claim) for claim in heard)
     refused = []
     for claim in (StartupClaim(4, "", 9), StartupClaim(5, "m2", 9), StartupClaim(5, "m0", 8)):
         lives = parts.lives("m0", {"m1": first})
-        lives.record_message("m1", Vote(5, True))
-        lives.record_message("m1", Appended(5, True, 9, 1))
+        lives.record_message("m1", VoteResponse(5, True))
+        lives.record_message("m1", AppendResponse(5, True, 9, 1))
         refused.append(lives.rejection_reason("m1", second, claim))
         refused.append(
             lives.rejection_reason("m1", Incarnation("f", 3, "c"), heard[0])
@@ -274,7 +286,7 @@
 
     def count(_: str, to: str, message: Message) -> bool:
         nonlocal entries
-        entries += len(message.entries) if to == "m2" and isinstance(message, Append) else 0
+        entries += len(message.entries) if to == "m2" and isinstance(message, AppendEntries) else 0
         return True
 
     bench.mail = late
@@ -295,10 +307,10 @@
         bench.ask("m0", Acquire(session, number + 1, f"l{number}", 100))
     bench.settle()
     bench.now_us += 100_000
-    leading = bench.members["m0"].raft.leader_state
-    assert leading is not None
-    for follower in leading.followers.values():
-        follower.heard_us = bench.now_us
+    leader_state = bench.members["m0"].raft.leader_state
+    assert leader_state is not None
+    for follower in leader_state.followers.values():
+        follower.last_heard_us = bench.now_us
     out = bench.members["m0"].wake(bench.now_us)
     writes = [item for item in out if isinstance(item, Persist) and item.entries]
     bench.did("m0", out)
@@ -390,4 +402,4 @@
         bench.settle()
     assert bench.members["m2"].machine.state == bench.members["m0"].machine.state
     assert bench.members["m2"].raft.log.snapshot.index > 0
-    assert isinstance(command_of(msgspec.msgpack.encode(Open("x"))), Open)
+    assert isinstance(decode_command(msgspec.msgpack.encode(Open("x"))), Open)
--- a/tests/quorum/test_server.py
+++ b/tests/quorum/test_server.py
@@ -14,12 +14,19 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from quorum import wire
-from quorum.client import Client, LeaseKeeper, QuorumError, ask_member, order
+from quorum.client import Client, LeaseKeeper, QuorumError, ask_member, order_leader
 from quorum.member import NoRoom
 from quorum.monotonic_clock import now_us
-from quorum.state_machine import MOST_VALUE, RESTORED_TOKENS, Done, Refused
+from quorum.state_machine import MAX_VALUE_BYTES, RESTORED_TOKEN_GAP, Done, Refused
 from quorum.store import Store, StoreError
-from quorum.wire import FRAME_S, LENGTH_PREFIX, MOST_ASKED, VERSION, Hello, encode_frame
+from quorum.wire import (
+    FRAME_TIMEOUT_S,
+    LENGTH_PREFIX,
+    MAX_CLIENT_FRAME_BYTES,
+    PROTOCOL_VERSION,
+    Hello,
+    encode_frame,
+)
 from standins.scripted import ROOT
 from tests.quorum.servers import FullDisks, Quorum, quorum, until
 
@@ -33,7 +40,7 @@
         writer.write(data)
         if end:
             writer.write_eof()
-        async with asyncio.timeout(FRAME_S + 3):
+        async with asyncio.timeout(FRAME_TIMEOUT_S + 3):
             return await reader.read()
     except ConnectionError:
         return b""
@@ -41,7 +48,7 @@
         writer.close()
 
 
-GREETING = encode_frame(Hello(VERSION))
+GREETING = encode_frame(Hello(PROTOCOL_VERSION))
 
 
 @pytest.mark.parametrize(
@@ -50,15 +57,15 @@
         b"GET / HTTP/1.1\r\n\r\n",
         encode_frame(Hello(99)),
         LENGTH_PREFIX.pack(0),
-        GREETING + LENGTH_PREFIX.pack(MOST_ASKED + 1),
+        GREETING + LENGTH_PREFIX.pack(MAX_CLIENT_FRAME_BYTES + 1),
         GREETING + LENGTH_PREFIX.pack(5) + b"\xff\xff\xff\xff\xff",
         GREETING + LENGTH_PREFIX.pack(30) + b"half",
         GREETING + b"\x00\x00",
         GREETING
         + LENGTH_PREFIX.pack(16)
         + msgspec.msgpack.encode({"type": "explode"})[:16].ljust(16, b"\x00"),
-        encode_frame(Hello(VERSION, "stranger")),
-        encode_frame(Hello(VERSION, "q0")),
+        encode_frame(Hello(PROTOCOL_VERSION, "stranger")),
+        encode_frame(Hello(PROTOCOL_VERSION, "q0")),
     ],
     ids=["http", "version", "empty", "huge", "garbage", "half", "cut", "unknown", "stranger", "no life"],
 )
@@ -80,8 +87,8 @@
     async with quorum(tmp_path) as some:
         client = some.client()
         await client.open(WITHIN_S)
-        answer = await client.put("a", 0, bytes(MOST_VALUE + 1), within_s=WITHIN_S)
-        assert answer == Refused(f"a record is over {MOST_VALUE} bytes")
+        answer = await client.put("a", 0, bytes(MAX_VALUE_BYTES + 1), within_s=WITHIN_S)
+        assert answer == Refused(f"a record is over {MAX_VALUE_BYTES} bytes")
         assert isinstance(await client.put("a", 0, b"x", within_s=WITHIN_S), Done)
         client.close()
 
@@ -134,11 +141,11 @@
         await client.open(WITHIN_S)
         keeper = LeaseKeeper(client, "sweep", 5_000)
         assert await keeper.acquire(0, WITHIN_S)
-        await order(some.members, wire.StepDown(1))
+        await order_leader(some.members, wire.StepDown(1))
         await until(lambda: moved(some, leader))
         got = await client.renew("sweep", keeper.held_lease.token, WITHIN_S)
         assert isinstance(got.response, Done)
-        assert keeper.held_lease.renewed(got.counts_from_us, now_us(), got.response.token)
+        assert keeper.held_lease.renewed(got.lease_start_us, now_us(), got.response.token)
         client.close()
 
 
@@ -154,13 +161,13 @@
         await client.open(WITHIN_S)
         assert isinstance(await client.put("a", 0, b"kept", within_s=WITHIN_S), Done)
         with pytest.raises(QuorumError, match="has no address"):
-            await order(some.members, wire.Change(1, add="q9"))
+            await order_leader(some.members, wire.Change(1, add="q9"))
         with pytest.raises(QuorumError, match="the members are"):
-            await order(some.members, wire.Change(1, remove="q3"))
+            await order_leader(some.members, wire.Change(1, remove="q3"))
         await some.start("q3")
-        await order(some.members, wire.Change(1, add="q3"))
+        await order_leader(some.members, wire.Change(1, add="q3"))
         out = next(name for name in some.voters if name != leader)
-        await order(some.members, wire.Change(1, remove=out))
+        await order_leader(some.members, wire.Change(1, remove=out))
         await some.stop(out)
         health = await some.health(await some.leader())
         assert set(health.members) == {"q0", "q1", "q2", "q3"} - {out}
@@ -183,8 +190,8 @@
         await client.open(WITHIN_S)
         assert (await some.health(leader)).lag[lost] > 0
         client.close()
-        await order(some.members, wire.Change(1, remove=lost))
-        await order(some.members, wire.Change(1, add=lost))
+        await order_leader(some.members, wire.Change(1, remove=lost))
+        await order_leader(some.members, wire.Change(1, add=lost))
         await until(lambda: some.up[leader].health(0).lag.get(lost) == 0)
 
 
@@ -260,7 +267,7 @@
 async def room_again(some: Quorum) -> bool:
     """Whether nobody is short of room; a write is what shows it."""
     try:
-        await order(some.members, wire.StepDown(1))
+        await order_leader(some.members, wire.StepDown(1))
     except QuorumError:  # the last time it was asked for, a leader stepped down: nobody leads just now
         return False
     return not any(server.health(0).disk or server.health(0).full for server in some.up.values())
@@ -316,7 +323,7 @@
     assert (await client.read(WITHIN_S, key="a")).value == b"kept"
     got = (await client.acquire("sweep", 1_000, wait_ms=8_000, within_s=WITHIN_S)).response
     assert isinstance(got, Done)
-    assert got.token > RESTORED_TOKENS
+    assert got.token > RESTORED_TOKEN_GAP
     assert now_us() - begun_us >= 4_000_000  # one clock, and the whole lease counts anew
     client.close()
     await new.stop(*new.voters)
--- a/tests/quorum/test_service_logging.py
+++ b/tests/quorum/test_service_logging.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import TextIO, cast
 
-from quorum.service_logging import Lines
+from quorum.service_logging import TolerantStream
 from tests.quorum.servers import Quorum
 
 
@@ -24,10 +24,10 @@
 
 def test_a_log_on_a_full_disk_is_left_out() -> None:
     """And nothing is raised."""
-    lines = Lines(cast(TextIO, Broken()))
+    lines = TolerantStream(cast(TextIO, Broken()))
     assert lines.write("x") == 0
     lines.flush()
-    assert lines.left_out == 2
+    assert lines.dropped_writes == 2
 
 
 async def test_who_ends_connections_at_once_is_called_with_pauses(tmp_path: Path) -> None:
--- a/tests/quorum/test_store.py
+++ b/tests/quorum/test_store.py
@@ -8,13 +8,13 @@
 import pytest
 
 from quorum import store
-from quorum.messages import Entry, Hard, Persist, RecoveredState, Snapshot
+from quorum.messages import Entry, HardState, Persist, RecoveredState, Snapshot
 from quorum.store import Store, StoreError
 
 WRITES = [
-    Persist(1, Hard(1, "q0")),
+    Persist(1, HardState(1, "q0")),
     Persist(2, None, 1, (Entry(1, 1), Entry(1, 0, b"a" * 40))),
-    Persist(3, Hard(2, ""), 2, (Entry(2, 0, b"b"),)),
+    Persist(3, HardState(2, ""), 2, (Entry(2, 0, b"b"),)),
     Persist(4, None, 3, (Entry(2, 0, b"c"), Entry(2, 0, b"d"))),
 ]
 
@@ -38,7 +38,7 @@
 def test_writes_come_back_and_later_ones_replace_what_stood_there(tmp_path: Path) -> None:
     """Term, vote and entries."""
     found = written(tmp_path / "q", WRITES)
-    assert found.hard == Hard(2, "")
+    assert found.hard == HardState(2, "")
     assert found.entries == (Entry(1, 1), Entry(2, 0, b"b"), Entry(2, 0, b"c"), Entry(2, 0, b"d"))
 
 
@@ -48,7 +48,7 @@
     sizes, some = [0], Store(whole)
     for item in WRITES:
         some.write([item])
-        sizes.append(some.size)
+        sizes.append(some.size_bytes)
     some.close()
     data = (whole / "log").read_bytes()
     lives = (whole / "lives").read_bytes()
@@ -60,7 +60,7 @@
         count = sum(size <= at for size in sizes) - 1
         expected = written(tmp_path / f"as-{at}", WRITES[:count])
         assert saved(folder) == expected
-        again = [*WRITES[:count], Persist(9, Hard(7, "q1"))]
+        again = [*WRITES[:count], Persist(9, HardState(7, "q1"))]
         assert written(folder, again[-1:]) == written(tmp_path / f"again-{at}", again)
 
 
@@ -84,7 +84,7 @@
     some.write(WRITES[:2])
     real, refuses = store.write_whole, True
     snapshot = Snapshot(2, 1, ("q0",), b"state") if whole else None
-    last = Persist(5, Hard(3, "q2"), 3, (Entry(3, 0, b"e"),), snapshot)
+    last = Persist(5, HardState(3, "q2"), 3, (Entry(3, 0, b"e"),), snapshot)
 
     def write(handle: int, data: bytes) -> None:
         if refuses:
@@ -100,7 +100,7 @@
     some.write([last])
     some.close()
     found = saved(tmp_path / "q")
-    assert found.hard == Hard(3, "q2")
+    assert found.hard == HardState(3, "q2")
     assert found.entries[-1] == Entry(3, 0, b"e")
     assert found.snapshot.index == (2 if whole else 0)
 
@@ -110,12 +110,14 @@
     some = Store(tmp_path / "q")
     for number in range(200):
         some.write([Persist(number + 1, None, number + 1, (Entry(1, 0, bytes(100)),))])
-    before = some.size
+    before = some.size_bytes
     snapshot = Snapshot(150, 1, ("q0", "q1", "q2"), b"state")
     rest = tuple(Entry(1, 0, bytes(100)) for _ in range(50))
     late = Persist(300, None, 201, (Entry(1, 0, b"late"),))
-    some.write([Persist(298, Hard(1, "q0")), Persist(299, Hard(1, "q0"), 151, rest, snapshot), late])
-    assert some.size < before / 2
+    some.write(
+        [Persist(298, HardState(1, "q0")), Persist(299, HardState(1, "q0"), 151, rest, snapshot), late]
+    )
+    assert some.size_bytes < before / 2
     some.close()
     found = saved(tmp_path / "q")
     assert found.snapshot == snapshot
--- a/tests/quorum/test_tasks.py
+++ b/tests/quorum/test_tasks.py
@@ -14,8 +14,8 @@
 import pytest
 
 from quorum.monotonic_clock import now_us
-from quorum.state_machine import MOST_VALUE
-from quorum.tasks import MOST_ERRORS, StepResult, TaskRunner, TaskTerms
+from quorum.state_machine import MAX_VALUE_BYTES
+from quorum.tasks import MAX_CONSECUTIVE_ERRORS, StepResult, TaskRunner, TaskTerms
 from standins.scripted import ROOT
 from sweeper import summary
 from sweeper.config import load
@@ -123,7 +123,7 @@
         await until(lambda: bad.counts.errors > 0)
         running.append(asyncio.ensure_future(counting(some, "good", notes).run(over)))
         await until(lambda: len(notes) > 3)
-        assert bad.counts.errors >= MOST_ERRORS
+        assert bad.counts.errors >= MAX_CONSECUTIVE_ERRORS
         over.set()
         await asyncio.gather(*running)
 
@@ -153,7 +153,7 @@
             lines = "".join(f"app.requests.class-{item}.served:{life}|c\n" for item in range(12))
             noted(found, f"relay-{number:018}", 1e9, figures_of((lines + many).encode()))
     assert len(found.names) <= summary.MOST_FIGURES
-    assert len(summary.packed(found)) < MOST_VALUE
+    assert len(summary.packed(found)) < MAX_VALUE_BYTES
 
 
 def test_a_large_fleet_is_spread_over_records_that_hold_it() -> None:
