--- a/quorum/member.py
+++ b/quorum/member.py
@@ -1,4 +1,4 @@
-"""A member: agreement, the replicated state, and the leader's clocks and waiters. No I/O."""
+"""A quorum member without I/O: Raft, the replicated state, and the leader's timers and wait queues."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
 from quorum.state_machine import Acquire, Answer, Command, Done, Held, Put, Refused, Shun, StateMachine
 from quorum.wait_queue import WaitQueue
 
-MAX_LOG_ENTRIES = 4096  # entries in the log before it is compacted
-MAX_WAITERS = 4096  # requests that wait for leases
-MAX_WATCHERS = 4096  # requests that wait for a change
-MAX_WAIT_MS = 600_000
+MAX_LOG_ENTRIES = 4096  # a longer log is compacted
+MAX_WAITERS = 4096  # requests waiting for a lease
+MAX_WATCHERS = 4096  # requests waiting for a change
+MAX_WAIT_MS = 600_000  # limit of a request's ``wait_ms``
 
 
 class Read(msgspec.Struct, frozen=True, tag="read"):
-    """What a lease and a record are, as of a moment after the request came."""
+    """Read the state of a lease and of a record, no older than the arrival of the request (linearizable)."""
 
     lease: str = ""
     key: str = ""
 
 
 class Wait(msgspec.Struct, frozen=True, tag="wait"):
-    """``Acquire``, and where another holds the lease wait in turn for it, at most so long."""
+    """``Acquire`` that queues for up to ``wait_ms`` while another session holds the lease."""
 
     acquire: Acquire
     wait_ms: int
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
-    """``Read`` of one lease or one record, answered once it differs from what is known, or after so long."""
+    """``Read`` of one lease or one record, answered once it differs from the given state or on timeout."""
 
     lease: str = ""
     key: str = ""
-    token: int = 0  # under which the lease was held when it was last looked at; 0: by nobody
-    version: int = 0  # of the record
+    token: int = 0  # the lease's token as the client last saw it; 0: nobody held it
+    version: int = 0  # the record's version as the client last saw it; 0: it did not exist
     wait_ms: int = 0
 
 
 class Told(msgspec.Struct, frozen=True, tag="told"):
-    """The answer to ``Read``; a version of 0 means that there is no such record, a token of 0 no lease."""
+    """The answer to ``Read`` and ``Watch``; version 0 means no such record, token 0 no such lease."""
 
     owner: str = ""
     token: int = 0
@@ -67,17 +67,17 @@
 
 
 class Elsewhere(msgspec.Struct, frozen=True, tag="elsewhere"):
-    """This member does not lead; nothing was done. ``leader`` may be empty."""
+    """This member does not lead and did nothing; ``leader`` is empty if it is not known."""
 
     leader: str
 
 
 class Unknown(msgspec.Struct, frozen=True, tag="unknown"):
-    """It may be done or not: ask again with the same session and number."""
+    """The request may or may not take effect; repeat it with the same session and sequence number."""
 
 
 class NoRoom(msgspec.Struct, frozen=True, tag="no-room"):
-    """It was not taken on, now and here; an earlier try of the same request may have been."""
+    """This attempt was not accepted; an earlier attempt of the same request may have been."""
 
     why: str
 
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """The members are these now, as all agree."""
+    """A committed change of the membership."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FoldersShunned:
-    """These folders are not to be heard, as all agree."""
+    """Folders whose messages are to be rejected from now on, as committed in the log."""
 
     folders: tuple[str, ...]
 
@@ -113,11 +113,11 @@
 
 
 def ignore_applied(_action: Committed, _machine: StateMachine) -> None:
-    """Nobody wants to know."""
+    """The default ``watch`` callback of ``Member``."""
 
 
 def validation_error(request: Request) -> str:
-    """What makes a request impossible whatever the state; empty where nothing does."""
+    """Describe what makes a request invalid in any state; empty if it is valid."""
     if isinstance(request, Wait | Watch) and not 0 <= request.wait_ms <= MAX_WAIT_MS:
         return f"wait_ms is from 0 to {MAX_WAIT_MS}"
     if isinstance(request, Watch):
@@ -128,7 +128,7 @@
 
 
 def affected_watches(command: Command, watching: list[str]) -> list[str]:
-    """What is waited for that a command may have changed, by the names of ``watch_key``."""
+    """Return the watch keys (see ``watch_key``) of everything that a command may have changed."""
     if isinstance(command, Put):
         return [f"record {command.key}"]
     return (
@@ -139,12 +139,12 @@
 
 
 def watch_key(request: Watch) -> str:
-    """What a watch is for."""
+    """Return the key under which a watch waits: its lease or its record."""
     return f"lease {request.lease}" if request.lease else f"record {request.key}"
 
 
 class Member:
-    """One member of a quorum."""
+    """One member of a quorum. Each public step returns the outputs that the caller has to carry out."""
 
     def __init__(
         self,
@@ -160,66 +160,66 @@
         clocks: type[LeaseTimers] = LeaseTimers,
         watch: Callable[[Committed, StateMachine], None] = ignore_applied,
     ) -> None:
-        """Go on from what the disk gave back; ``watch`` is told of each entry once it is applied."""
+        """Restore a member from ``saved``; ``watch`` is called with each entry after it is applied."""
         self._on_applied = watch
         self.raft = raft(name, members, saved=saved, timing=timing, draw=draw, now_us=now_us)
         self.machine = state(saved.snapshot.data)
         self.applied = self.raft.commit
         self._now_us = now_us
         self._lease_timers = clocks()
-        self._leader_ready = False  # a leader that has applied all of its predecessors
+        self._leader_ready = False  # leading, with all entries of earlier terms applied
         self.waiting: WaitQueue[Wait] = WaitQueue(MAX_WAITERS)
         self.watching: WaitQueue[Watch] = WaitQueue(MAX_WATCHERS)
         self._requests: dict[int, Request] = {}  # by tag
-        self._last_internal_tag = 0  # tags of the leader's own proposals are negative
-        self._proposals: list[tuple[int, bytes]] = []  # of this step, by tag
-        self._pending_reads: list[int] = []  # of this step
-        self._granting: set[str] = set()  # leases for which a waiter's turn is being decided
+        self._last_internal_tag = 0  # the leader's own proposals count down, so their tags are negative
+        self._proposals: list[tuple[int, bytes]] = []  # (tag, command) collected in this step
+        self._pending_reads: list[int] = []  # tags collected in this step
+        self._granting: set[str] = set()  # leases with an uncommitted ``Acquire`` on behalf of a waiter
         self._outputs: list[Output] = []
 
     # Steps
 
     @property
     def due_us(self) -> int:
-        """When ``wake`` is due."""
+        """The time at which ``wake`` is to be called."""
         times = (self.raft.due_us, self._lease_timers.due_us, self.waiting.due_us, self.watching.due_us)
         return min(time for time in times if time is not None)
 
     def wake(self, now_us: int) -> list[Output]:
-        """Time has passed."""
+        """Handle whatever is due: Raft's timeouts, ended leases, and requests that waited too long."""
         self._now_us = now_us
         self._process_actions(self.raft.wake(now_us))
-        if ends := self._lease_timers.pop_due(now_us):
-            self._propose_own(ends)
+        if commands := self._lease_timers.pop_due(now_us):
+            self._propose_own(commands)
         self._answer_timed_out()
         return self._take_outputs()
 
     def receive(self, now_us: int, sender: str, message: Message) -> list[Output]:
-        """A message of another member."""
+        """Handle a message from another member."""
         self._now_us = now_us
         self._process_actions(self.raft.receive(now_us, sender, message))
         return self._take_outputs()
 
     def synced(self, now_us: int, number: int) -> list[Output]:
-        """The disk is done with all writes up to that number."""
+        """Handle the report that all writes up to ``number`` are durable."""
         self._now_us = now_us
         self._process_actions(self.raft.synced(now_us, number))
         return self._take_outputs()
 
     def request(self, now_us: int, tag: int, request: Request) -> list[Output]:
-        """A client's request; it is answered once, now or later."""
+        """Handle a client's request, which gets exactly one ``Reply``, now or in a later step."""
         return self.request_all(now_us, [(tag, request)])
 
-    def request_all(self, now_us: int, some: list[tuple[int, Request]]) -> list[Output]:
-        """Requests that came together: one write, and one message to each other member, for all of them."""
+    def request_all(self, now_us: int, requests: list[tuple[int, Request]]) -> list[Output]:
+        """Handle several requests with one write and one message to each other member."""
         self._now_us = now_us
-        for tag, request in some:
+        for tag, request in requests:
             self._handle_request(tag, request)
         return self._take_outputs()
 
     def _handle_request(self, tag: int, request: Request) -> None:
-        if fault := validation_error(request):
-            self._reply(tag, Refused(fault))
+        if error := validation_error(request):
+            self._reply(tag, Refused(error))
         elif self.raft.role is not Role.LEADER:
             self._reply(tag, Elsewhere(self.raft.leader))
         elif isinstance(request, Read | Watch):
@@ -229,39 +229,39 @@
             self._propose(tag, request)
 
     def cancel(self, tags: list[int]) -> None:
-        """Who asked these hears no answer any more: they wait for nothing."""
+        """Forget requests whose client has disconnected."""
         for tag in tags:
             self.waiting.remove(tag)
             self.watching.remove(tag)
             self._requests.pop(tag, None)
 
     def change_members(self, now_us: int, tag: int, members: tuple[str, ...]) -> list[Output]:
-        """An operator adds or removes one member."""
+        """Add or remove one member at an operator's request."""
         self._now_us = now_us
         self._process_actions(self.raft.change_members(now_us, tag, members))
         return self._take_outputs()
 
     def step_down(self, now_us: int) -> list[Output]:
-        """An operator wants another leader."""
+        """Transfer leadership at an operator's request."""
         self._now_us = now_us
         self._process_actions(self.raft.step_down(now_us))
         return self._take_outputs()
 
     def set_disk_full(self, now_us: int, full: bool) -> list[Output]:
-        """The disk takes nothing that can wait, or does again."""
+        """Set whether this member's disk is full, so that it accepts only writes that cannot be deferred."""
         self._now_us = now_us
         self._process_actions(self.raft.set_disk_full(now_us, full))
         return self._take_outputs()
 
     def shun(self, now_us: int, folder: str) -> list[Output]:
-        """A folder was found to have forgotten a promise: a leader has all members know."""
+        """As the leader, propose that all members reject a folder that has lost durable state."""
         self._now_us = now_us
         if self.raft.leader_state is not None and folder not in self.machine.state.shunned:
             self._propose_own([Shun(folder)])
         return self._take_outputs()
 
     def compact(self) -> list[Output]:
-        """Put what is applied into a snapshot."""
+        """Replace the applied entries of the log by a snapshot."""
         self._compact()
         return self._take_outputs()
 
@@ -270,15 +270,15 @@
 
     def _take_outputs(self) -> list[Output]:
         if self._proposals:
-            some, self._proposals = self._proposals, []
-            self._process_actions(self.raft.propose_all(self._now_us, some))
+            proposals, self._proposals = self._proposals, []
+            self._process_actions(self.raft.propose_all(self._now_us, proposals))
         if self._pending_reads:
             tags, self._pending_reads = self._pending_reads, []
             self._process_actions(self.raft.read(self._now_us, *tags))
         if len(self.raft.log) > MAX_LOG_ENTRIES and self.applied > self.raft.log.snapshot.index:
             self._compact()
-        out, self._outputs = self._outputs, []
-        return out
+        outputs, self._outputs = self._outputs, []
+        return outputs
 
     def _reply(self, tag: int, response: Response) -> None:
         self._requests.pop(tag, None)
@@ -323,12 +323,12 @@
             self._drop_leader_state()
 
     def _drop_leader_state(self) -> None:
-        """No leader any more: its clocks mean nothing, and who waits has to ask the next one."""
+        """Stop the timers after losing leadership, and send the waiting requests to the next leader."""
         self._leader_ready = False
         self._lease_timers.clear()
         self._granting.clear()
-        tags = [item.tag for item in self.waiting.pop_everything()] + [
-            item.tag for item in self.watching.pop_everything()
+        tags = [waiter.tag for waiter in self.waiting.pop_everything()] + [
+            waiter.tag for waiter in self.watching.pop_everything()
         ]
         for tag in tags:
             self._reply(tag, Elsewhere(self.raft.leader))
@@ -369,10 +369,10 @@
                 return
         self._reply(tag, answer)
 
-    # WaitQueue in turn
+    # Waiting for a lease
 
     def _enqueue_if_held(self, tag: int, request: Wait) -> bool:
-        """Whether the request waits now; False where the lease is free and nobody is before it."""
+        """Queue a request; returns False if the lease is free and no other request is ahead of it."""
         name = request.acquire.lease
         held = name in self.machine.state.leases
         if not held and name not in self.waiting and name not in self._granting:
@@ -382,7 +382,7 @@
         return True
 
     def _grant_next_waiter(self, command: Command) -> None:
-        """A lease that came free goes to the one that waits longest; the others are not stirred."""
+        """Propose a freed lease for the request that has waited longest; the others stay in the queue."""
         if isinstance(command, Acquire):
             self._granting.discard(command.lease)
         for name in affected_leases(command, self.waiting.names):
@@ -395,51 +395,53 @@
                     self._granting.add(name)
 
     def _answer_timed_out(self) -> None:
-        """Waiters whose time is up are told who holds the lease; watchers, how things are."""
+        """Answer requests whose wait is over: waiters with the current holder, watchers by a fresh read."""
         for waiter in self.waiting.pop_expired(self._now_us):
             lease = self.machine.state.leases.get(waiter.name)
             self._reply(waiter.tag, Held(lease.owner, lease.token) if lease is not None else Held("", 0))
-        over = self.watching.pop_expired(self._now_us)
-        for item in over:
-            self._requests[item.tag] = Read(item.request.lease, item.request.key)
-        self._pending_reads += [item.tag for item in over]
+        expired = self.watching.pop_expired(self._now_us)
+        for watcher in expired:
+            self._requests[watcher.tag] = Read(watcher.request.lease, watcher.request.key)
+        self._pending_reads += [watcher.tag for watcher in expired]
 
     # Reading
 
     def _recheck_watches(self, command: Command) -> None:
-        """Those who watch what a command may have changed read it anew, all in one round."""
-        for place in affected_watches(command, self.watching.names):
-            if some := self.watching.pop_all(place):
-                for item in some:
-                    left_ms = max(1, (item.deadline_us - self._now_us) // 1000)
-                    self._requests[item.tag] = msgspec.structs.replace(item.request, wait_ms=left_ms)
-                self._pending_reads += [item.tag for item in some]
+        """Repeat the reads of all watches that a command may have changed, in one round of messages."""
+        for key in affected_watches(command, self.watching.names):
+            if watchers := self.watching.pop_all(key):
+                for watcher in watchers:
+                    remaining_ms = max(1, (watcher.deadline_us - self._now_us) // 1000)
+                    self._requests[watcher.tag] = msgspec.structs.replace(
+                        watcher.request, wait_ms=remaining_ms
+                    )
+                self._pending_reads += [watcher.tag for watcher in watchers]
 
     def _answer_read(self, tag: int) -> None:
         request = self._requests.get(tag)
         if isinstance(request, Read):
             self._reply(tag, self._read_state(request.lease, request.key))
         elif isinstance(request, Watch):
-            told = self._read_state(request.lease, request.key)
-            token = told.token if told.owner else 0
-            same = (token, told.version) == (request.token, request.version)
-            until_us = self._now_us + request.wait_ms * 1000
-            if not same or not request.wait_ms:
-                self._reply(tag, told)
-            elif not self.watching.add(tag, watch_key(request), request, until_us):
+            current = self._read_state(request.lease, request.key)
+            token = current.token if current.owner else 0
+            unchanged = (token, current.version) == (request.token, request.version)
+            deadline_us = self._now_us + request.wait_ms * 1000
+            if not unchanged or not request.wait_ms:
+                self._reply(tag, current)
+            elif not self.watching.add(tag, watch_key(request), request, deadline_us):
                 self._reply(tag, NoRoom("too many watch"))
 
     def _read_state(self, lease_name: str, key: str) -> Told:
         lease = self.machine.state.leases.get(lease_name)
-        item = self.machine.state.records.get(key)
+        record = self.machine.state.records.get(key)
         return Told(
             lease.owner if lease is not None else "",
             lease.token if lease is not None else 0,
             self.remaining_ms(lease_name),
-            item.version if item is not None else 0,
-            item.value if item is not None else b"",
+            record.version if record is not None else 0,
+            record.value if record is not None else b"",
         )
 
     def remaining_ms(self, lease: str) -> int:
-        """What a lease or its delay has left, as a leader knows; elsewhere 0."""
+        """Return the milliseconds left of a lease, or of its delay, as known to a leader; elsewhere 0."""
         return self._lease_timers.remaining_us(self._now_us, lease) // 1000
