--- a/quorum/state_machine.py
+++ b/quorum/state_machine.py
@@ -1,7 +1,10 @@
-"""The replicated state: sessions, leases with their tokens, and small records. Pure; all members apply alike.
+"""The replicated state machine: sessions, leases with their fencing tokens, and small records.
 
-No time is in here: a lease runs out by an ``Expire`` that the leader proposes by its own monotonic clock, so
-that every member sees the same end at the same place in the log.
+It is deterministic and uses no clock. A lease ends by an ``Expire`` command, which the leader proposes by its
+own monotonic clock, so that the lease ends at the same place in the log on every member.
+
+The texts of refusals are part of the replicated state (a session keeps its last answer), so all builds that
+run in one quorum have to produce the same ones.
 """
 
 from __future__ import annotations
@@ -10,23 +13,27 @@
 
 from quorum.incarnations import MAX_SHUNNED_FOLDERS
 
-MAX_SESSIONS, MAX_LEASES, MAX_RECORDS = 8192, 4096, 4096
-MAX_NAME_BYTES, MAX_VALUE_BYTES = 128, 64 * 1024  # bytes of a name and of a record
-MAX_RECORDS_BYTES = 8 * 1024 * 1024  # of all records: the state has to pass in one frame
+MAX_SESSIONS = 8192
+MAX_LEASES = 4096
+MAX_RECORDS = 4096
+MAX_NAME_BYTES = 128  # of an owner, a lease or a record
+MAX_VALUE_BYTES = 64 * 1024  # of one record
+MAX_RECORDS_BYTES = 8 * 1024 * 1024  # of all records' values, since the whole state is sent in one frame
 NO_SESSION = "no such session"
-RESTORED_TOKEN_GAP = 1_000_000_000  # more than any quorum gives between a copy and its restoration
-MAX_TTL_MS, MIN_TTL_MS = 600_000, 100
+RESTORED_TOKEN_GAP = 1_000_000_000  # more tokens than a quorum issues between a backup and its restoration
+MAX_TTL_MS = 600_000
+MIN_TTL_MS = 100
 MAX_DELAY_MS = 600_000
 
 
 class Open(msgspec.Struct, frozen=True, tag="open"):
-    """Begin a session; ``owner`` names it for people. The answer's ``session`` counts from then on."""
+    """Begin a session, whose id is the answer's ``session``; ``owner`` is a name for operators to read."""
 
     owner: str
 
 
 class Close(msgspec.Struct, frozen=True, tag="close"):
-    """End a session; its leases are released."""
+    """End a session and release its leases."""
 
     session: int
     seq: int
@@ -39,11 +46,11 @@
     seq: int
     lease: str
     ttl_ms: int
-    delay_ms: int = 0  # after an unclean end nobody gets it for so long
+    delay_ms: int = 0  # how long nobody can acquire the lease after it expired instead of being released
 
 
 class Renew(msgspec.Struct, frozen=True, tag="renew"):
-    """Hold a lease on; refused unless the token is still the one in force."""
+    """Renew a lease; refused unless ``token`` is still in force."""
 
     session: int
     seq: int
@@ -52,7 +59,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """Give a lease back in order: the next one may have it at once."""
+    """Release a lease; another session can acquire it at once, without the delay."""
 
     session: int
     seq: int
@@ -61,9 +68,9 @@
 
 
 class Put(msgspec.Struct, frozen=True, tag="put"):
-    """Write a record if its version is the expected one (0: it is not there); an empty value takes it away.
+    """Write a record if it has the given version (0: it does not exist); an empty value deletes it.
 
-    With a ``lease`` only if that lease is in force under ``token``.
+    If ``lease`` is given, that lease also has to be in force under ``token``.
     """
 
     session: int
@@ -76,7 +83,7 @@
 
 
 class Expire(msgspec.Struct, frozen=True, tag="expire"):
-    """The leader's: a lease has had its time since its ``beat``-th renewal."""
+    """Proposed by the leader: a lease's time has passed since its ``beat``-th renewal."""
 
     lease: str
     token: int
@@ -84,14 +91,14 @@
 
 
 class Free(msgspec.Struct, frozen=True, tag="free"):
-    """The leader's: a lease's delay is over."""
+    """Proposed by the leader: a lease's delay after its expiry is over."""
 
     lease: str
     token: int
 
 
 class Shun(msgspec.Struct, frozen=True, tag="shun"):
-    """The leader's: a member's folder has forgotten a promise, and is not to be heard."""
+    """Proposed by the leader: a member's folder has lost durable state and is to be rejected."""
 
     folder: str
 
@@ -101,7 +108,7 @@
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """It is so; what counts of the rest depends on what was asked."""
+    """The command took effect; which of the fields are set depends on the command."""
 
     session: int = 0
     token: int = 0
@@ -109,14 +116,14 @@
 
 
 class Held(msgspec.Struct, frozen=True, tag="held"):
-    """Another holds the lease, or its delay runs (``owner`` is empty)."""
+    """Another session holds the lease, or its delay has not passed (then ``owner`` is empty)."""
 
     owner: str
     token: int
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """It cannot be: ``why`` in one line; nothing has changed."""
+    """The command was refused for the reason in ``why`` and changed nothing."""
 
     why: str
 
@@ -125,7 +132,7 @@
 
 
 class Lease(msgspec.Struct):
-    """A lease that is held, or that waits out its delay (``session`` 0)."""
+    """A lease that is held, or that is in its delay after expiry (``session`` is 0)."""
 
     session: int
     owner: str
@@ -136,30 +143,30 @@
 
 
 class Item(msgspec.Struct):
-    """A record."""
+    """A small record."""
 
     version: int
     value: bytes
 
 
 class Session(msgspec.Struct):
-    """Who asks, and the answer to the last that was asked, so that a repeat counts once (thesis, 6.3)."""
+    """A client's session, with its last command's answer so that a repeat takes effect once (thesis, 6.3)."""
 
     owner: str
-    used: int  # the index of its last entry
+    used: int  # the log index of its last command
     seq: int = 0
     answer: Answer = Done()
 
 
 class State(msgspec.Struct):
-    """All of it."""
+    """The complete replicated state."""
 
-    token: int = 0  # the last that was given
-    sessions: dict[int, Session] = {}
+    token: int = 0  # the last one issued
+    sessions: dict[int, Session] = {}  # by the log index of their ``Open``
     leases: dict[str, Lease] = {}
     records: dict[str, Item] = {}
     bytes: int = 0  # of all records' values
-    shunned: list[str] = []  # folders, the latest last
+    shunned: list[str] = []  # folders whose messages are rejected, oldest first
 
 
 _COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
@@ -167,12 +174,12 @@
 
 
 def decode_command(data: bytes) -> Command:
-    """A command as it stands in the log; ``msgspec.DecodeError`` where it is none."""
+    """Decode a command from a log entry; raises ``msgspec.DecodeError`` if the data is not a command."""
     return _COMMAND_DECODER.decode(data)
 
 
 def validation_error(command: Command) -> str:
-    """What makes a command impossible whatever the state; empty where nothing does."""
+    """Describe what makes a command invalid in any state; empty if it is valid."""
     names = [getattr(command, name) for name in ("owner", "lease", "key") if hasattr(command, name)]
     if any(len(name.encode()) > MAX_NAME_BYTES for name in names):
         return f"a name is over {MAX_NAME_BYTES} bytes"
@@ -192,15 +199,15 @@
 
 
 def may_grow_state(command: Command) -> bool:
-    """Whether a command may make the state larger."""
+    """Whether a command may enlarge the state."""
     return isinstance(command, Open | Acquire) or (isinstance(command, Put) and bool(command.value))
 
 
 def prepare_restored_state(data: bytes) -> bytes:
-    """The state of a copy that a new quorum begins from.
+    """Convert the state in a backup into the initial state of a new quorum.
 
-    What was given since the copy is not known: tokens go on far above it, sessions are over, and what was
-    held is held by nobody for its full time and delay.
+    What the old quorum granted after the backup is not known. Therefore tokens continue far above the
+    backup's, all sessions end, and each lease stays unavailable for its full time plus its delay.
     """
     state = _STATE_DECODER.decode(data)
     state.token += RESTORED_TOKEN_GAP
@@ -211,24 +218,24 @@
 
 
 class StateMachine:
-    """The state, and how a command changes it."""
+    """The replicated state and the effects of commands on it."""
 
     def __init__(self, data: bytes = b"") -> None:
         self.state = State()
         self.restore(data)
 
     def snapshot(self) -> bytes:
-        """All of the state."""
+        """Encode the complete state."""
         return msgspec.msgpack.encode(self.state)
 
     def restore(self, data: bytes) -> None:
-        """Start anew from a snapshot; empty: from nothing."""
+        """Replace the state by a snapshot, or by the initial state if ``data`` is empty."""
         self.state = _STATE_DECODER.decode(data) if data else State()
 
     def apply(self, index: int, command: Command) -> Answer:
-        """The command at that index; the same state and command give the same answer everywhere."""
-        if fault := validation_error(command):
-            return Refused(fault)
+        """Apply the command at ``index``; the same state and command give the same answer on all members."""
+        if error := validation_error(command):
+            return Refused(error)
         match command:
             case Open():
                 return self._open(index, command)
@@ -251,16 +258,18 @@
         return Done(session=index)
 
     def _evict_idle_session(self) -> bool:
-        """Drop the session that was used longest ago among those without a lease; False where none is."""
+        """Drop the least recently used session that holds no lease; returns False if there is none."""
         holders = {lease.session for lease in self.state.leases.values()}
-        idle = [(item.used, number) for number, item in self.state.sessions.items() if number not in holders]
+        idle = [
+            (session.used, number) for number, session in self.state.sessions.items() if number not in holders
+        ]
         if not idle:
             return False
         del self.state.sessions[min(idle)[1]]
         return True
 
     def _apply_once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
-        """A session's command: a repeat of the last gets its answer again, an older one none."""
+        """Apply a command once: a repeat of the session's last gets the same answer, older ones a refusal."""
         session = self.state.sessions.get(command.session)
         if session is None:
             return Refused(NO_SESSION)
@@ -293,7 +302,7 @@
             case Put():
                 return self._put(command)
             case Close():
-                held = [name for name, item in self.state.leases.items() if item.session == command.session]
+                held = [name for name, lease in self.state.leases.items() if lease.session == command.session]
                 for name in held:
                     del self.state.leases[name]
                 del self.state.sessions[command.session]
@@ -318,7 +327,7 @@
         return Done(token=token)
 
     def _next_token(self) -> int:
-        """Tokens only grow, over every restart: they are part of the state."""
+        """Issue a token. Tokens are part of the state, so they only grow, across restarts too."""
         self.state.token += 1
         return self.state.token
 
@@ -326,23 +335,24 @@
         if command.lease and self._lease_in_force(command.lease, command.token) is None:
             return Refused("the lease has passed on")
         records = self.state.records
-        item = records.get(command.key)
-        version = item.version if item is not None else 0
+        record = records.get(command.key)
+        version = record.version if record is not None else 0
         if version != command.version:
             return Refused(f"its version is {version}")
-        more = len(command.value) - (len(item.value) if item is not None else 0)
+        growth = len(command.value) - (len(record.value) if record is not None else 0)
         if not command.value:
             records.pop(command.key, None)
-            self.state.bytes += more
+            self.state.bytes += growth
             return Done(version=0)
-        if item is None and len(records) >= MAX_RECORDS:
+        if record is None and len(records) >= MAX_RECORDS:
             return Refused(f"there are {MAX_RECORDS} records")
-        if self.state.bytes + more > MAX_RECORDS_BYTES:
+        if self.state.bytes + growth > MAX_RECORDS_BYTES:
             return Refused(f"all records together would be over {MAX_RECORDS_BYTES} bytes")
-        self.state.bytes += more
-        # A record that comes again under its name goes on counting: tokens are never given twice either.
-        self.state.token += item is None
-        records[command.key] = Item(version + 1 if item is not None else self.state.token, command.value)
+        self.state.bytes += growth
+        # A new record starts at a fresh token as its version, so that a record which is deleted and created
+        # again never repeats a version.
+        self.state.token += record is None
+        records[command.key] = Item(version + 1 if record is not None else self.state.token, command.value)
         return Done(version=records[command.key].version)
 
     def _expire(self, command: Expire) -> Answer:
