--- a/quorum/messages.py
+++ b/quorum/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, what they keep, and what the core asks of its shell.
+"""Messages between members, their persistent state, and the actions that the Raft core returns to its caller.
 
 Names follow Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and Ongaro's
 thesis, "Consensus: Bridging Theory and Practice" (2014).
@@ -10,11 +10,14 @@
 
 import msgspec
 
-COMMAND, NOOP, MEMBERS = 0, 1, 2  # kinds of entries
+# Kinds of log entries, as stored on disk and sent to other members.
+COMMAND = 0  # a command of the state machine
+NOOP = 1  # the first entry of a leader's term
+MEMBERS = 2  # a change of the membership
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log."""
+    """A log entry; ``kind`` is COMMAND, NOOP or MEMBERS."""
 
     term: int
     kind: int
@@ -22,7 +25,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state machine after the entry at ``index``, and who was a member then."""
+    """The state machine's state and the membership after the entry at ``index``."""
 
     index: int = 0
     term: int = 0
@@ -31,13 +34,13 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """RequestVote; ``pre`` asks whether a vote would be given, and changes nothing (thesis, 9.6)."""
+    """RequestVote; ``pre`` marks a pre-vote, which changes nothing at the receiver (thesis, 9.6)."""
 
     term: int
     last_index: int
     last_term: int
     pre: bool = False
-    transfer: bool = False  # the leader itself wants it (thesis, 3.10)
+    transfer: bool = False  # the leader asked for this election to transfer leadership (thesis, 3.10)
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
@@ -49,7 +52,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """AppendEntries; ``round`` counts a leader's rounds, by which reads are confirmed (thesis, 6.4)."""
+    """AppendEntries; ``round`` numbers the leader's rounds of messages, which confirm reads (thesis, 6.4)."""
 
     term: int
     prev_index: int
@@ -60,17 +63,21 @@
 
 
 class AppendResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The answer: the log agrees up to ``match``, or the leader is to try again from there."""
+    """The answer to ``AppendEntries`` and ``InstallSnapshot``.
+
+    If ``ok``, the follower's log matches the leader's up to ``match``; otherwise the leader is to retry from
+    that index.
+    """
 
     term: int
     ok: bool
     match: int
     round: int
-    full: bool = False  # its disk is full, or refuses
+    disk_full: bool = False  # the follower's disk is full or refuses writes
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """InstallSnapshot, in one piece: the state is bounded."""
+    """InstallSnapshot, sent in one piece because the size of the state is bounded."""
 
     term: int
     snapshot: Snapshot
@@ -78,7 +85,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """TimeoutNow: the receiver is to stand for election at once."""
+    """TimeoutNow: tells the receiver to start an election at once."""
 
     term: int
 
@@ -87,7 +94,7 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What has to outlast a crash beside the log."""
+    """The term and vote, which have to survive a crash like the log."""
 
     term: int = 0
     vote: str = ""
@@ -95,16 +102,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """All that a member's disk gave back at its start."""
+    """Everything that a member recovers from its disk at its start."""
 
     hard: HardState = field(default_factory=HardState)
     snapshot: Snapshot = field(default_factory=Snapshot)
-    entries: tuple[Entry, ...] = ()  # those after the snapshot
+    entries: tuple[Entry, ...] = ()  # after the snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message to another member."""
+    """Send a message to another member."""
 
     to: str
     message: Message
@@ -112,9 +119,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write this, make it durable, then report ``number``; writes are in order.
+    """Write this to disk in order, make it durable, then report ``number``.
 
-    ``entries`` stand from ``first`` on, and nothing that was written at or behind that index counts any more.
+    ``entries`` start at index ``first`` and replace everything written earlier at or after that index.
     """
 
     number: int
@@ -126,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """An entry that every member will have at that index; ``tag`` is of the proposal that made it here."""
+    """The entry at ``index`` is committed; ``tag`` is set on the member that proposed it."""
 
     index: int
     entry: Entry
@@ -135,21 +142,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstalled:
-    """The state machine is to start anew from here."""
+    """Reset the state machine to this snapshot, which came from the leader."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read may be answered from the state machine as it stands now."""
+    """The read with this tag may be answered from the current state of the state machine."""
 
     tag: int
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """A proposal or read that this member cannot see through; ``unknown``: it may still be committed."""
+    """A proposal or read that this member cannot complete; if ``unknown``, it may still be committed."""
 
     tag: int
     unknown: bool
