--- a/quorum/incarnations.py
+++ b/quorum/incarnations.py
@@ -1,12 +1,19 @@
-"""Which life of a member is heard. Pure.
-
-Agreement rests on what each member has promised from its disk. A folder that is lost, or put back from an old
-copy, has forgotten promises, and two processes on copies of one folder promise twice. So each folder has a
-name of its own, each start in it a number, each process a word; the others keep what they have heard last,
-on their disks, and do not hear what is behind it. As a copy may also be of the very life that ran last, a
-process says with what it began, and who had a promise of it that is not in there does not hear it either.
-That is evidence, never a guess. A leader that has some has all members shun the folder by an entry of the
-log; a copy whose missing promises were made only to members that have been lost meanwhile passes as a crash.
+"""Rejection of members whose folder has lost durable state. No I/O.
+
+Raft is safe only if no member forgets what it has promised: its term, its vote, the entries it acknowledged.
+A folder that was lost or restored from an old copy has forgotten promises, and two processes on copies of one
+folder can make contradictory ones. To detect this:
+
+- Each folder has a random name, each start in a folder a number, and each process a random word. Together
+  they identify an incarnation of a member. The other members store on their own disks which incarnation they
+  accepted last, and reject older ones.
+- A copy may have been taken from the very incarnation that ran last. Therefore a process also states the
+  term, vote and last index that it started with. A member that holds a promise which is missing there rejects
+  it.
+
+A folder is rejected only on such evidence. A leader that has evidence commits a log entry that makes all
+members shun the folder. A copy whose missing promises were made only to members that have since been lost
+cannot be told from a crash and is accepted.
 """
 
 from __future__ import annotations
@@ -17,35 +24,35 @@
 
 from quorum.messages import AppendResponse, Message, RequestVote, VoteResponse
 
-MAX_SHUNNED_FOLDERS = 64  # folders
+MAX_SHUNNED_FOLDERS = 64  # beyond that, the oldest is forgotten
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One life of a member."""
+    """One run of a member's process on its folder."""
 
-    folder: str  # drawn when the folder was made
-    start: int  # of the starts in that folder, from 1
-    run: str  # drawn by the process
+    folder: str  # random name, chosen when the folder was created
+    start: int  # number of the start in that folder, from 1
+    run: str  # random word, chosen by the process
 
 
 class StartupClaim(msgspec.Struct, frozen=True, array_like=True):
-    """What a process found in its folder when it began."""
+    """The durable state that a process found in its folder when it started."""
 
     term: int = 0
     vote: str = ""
-    last: int = 0  # index of the log's last entry
+    last: int = 0  # index of the last log entry
 
 
 class PeerPromises(msgspec.Struct):
-    """What one member has promised this one."""
+    """What another member has promised to this one."""
 
     term: int = 0
-    voted: int = 0  # the last term in which it gave this one its vote
+    voted: int = 0  # the last term in which it voted for this member
     acked_term: int = 0
-    acked: int = 0  # the last entry that it acknowledged in that term
+    acked: int = 0  # index of the last entry that it acknowledged in that term
 
     def record_message(self, message: Message) -> None:
-        """One more message of it."""
+        """Note the promises in a message from that member."""
         if isinstance(message, RequestVote | VoteResponse) and message.pre:
             return
         self.term = max(self.term, message.term)
@@ -56,35 +63,35 @@
                 self.acked_term, self.acked = message.term, 0
             self.acked = max(self.acked, message.match)
 
-    def is_broken_by(self, claim: StartupClaim, own: str) -> bool:
-        """Whether a folder that holds so much has forgotten a promise."""
+    def is_broken_by(self, claim: StartupClaim, own_name: str) -> bool:
+        """Whether a promise is missing from the state that the member's process started with."""
         if claim.term < self.term:
             return True
-        if self.voted and claim.term == self.voted and claim.vote != own:
+        if self.voted and claim.term == self.voted and claim.vote != own_name:
             return True
         return claim.term == self.acked_term and claim.last < self.acked
 
 
 class IncarnationRegistry:
-    """What one member has heard of the others."""
+    """The incarnations of other members that one member has accepted, and the folders that it rejects."""
 
-    def __init__(self, own: str, known: dict[str, Incarnation], shunned: Iterable[str] = ()) -> None:
-        self._own_name, self._known = own, dict(known)
-        self._shunned = dict.fromkeys(shunned)  # folders, the latest last
+    def __init__(self, own_name: str, known: dict[str, Incarnation], shunned: Iterable[str] = ()) -> None:
+        self._own_name, self._known = own_name, dict(known)
+        self._shunned = dict.fromkeys(shunned)  # folders, oldest first
         self._promises: dict[str, PeerPromises] = {}
 
     @property
     def known(self) -> dict[str, Incarnation]:
-        """The latest life of each, which has to be durable before it is listened to."""
+        """The latest accepted incarnation by member; it has to be durable before its messages are handled."""
         return dict(self._known)
 
     @property
     def shunned(self) -> tuple[str, ...]:
-        """Folders that have forgotten a promise, which has to be durable too."""
+        """Folders that have lost durable state, oldest first; these have to be durable too."""
         return tuple(self._shunned)
 
     def shun(self, folder: str) -> bool:
-        """Hear that folder no more; whether that is news."""
+        """Reject a folder from now on; returns whether it was not rejected before."""
         if folder in self._shunned:
             return False
         self._shunned[folder] = None
@@ -93,44 +100,48 @@
         return True
 
     def record_message(self, name: str, message: Message) -> None:
-        """A message of a life that is listened to."""
+        """Note the promises in a message of an accepted incarnation."""
         self._promises.setdefault(name, PeerPromises()).record_message(message)
 
     def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
-        """Why a member that says to be so is not listened to; empty where it is."""
-        known, again = self._known.get(name), "take it out and add it again"
+        """Return why an incarnation of a member is rejected, or an empty string if it can be accepted.
+
+        A folder that turns out to have lost durable state is shunned from then on.
+        """
+        known, remedy = self._known.get(name), "take it out and add it again"
         if known is not None and life.folder == known.folder:
-            newer, twice = life.start > known.start, life.start == known.start and life.run != known.run
-            if twice or (
-                newer and self._promises.get(name, PeerPromises()).is_broken_by(claim, self._own_name)
+            # A twin is a second process with the same start number, so it runs on a copy of the folder.
+            is_newer, is_twin = life.start > known.start, life.start == known.start and life.run != known.run
+            if is_twin or (
+                is_newer and self._promises.get(name, PeerPromises()).is_broken_by(claim, self._own_name)
             ):
                 self.shun(life.folder)
-        older = known is not None and life.folder == known.folder and life.start < known.start
-        if older or life.folder in self._shunned:
-            return f"{name} speaks from a copy of its folder: {again}"
+        is_older = known is not None and life.folder == known.folder and life.start < known.start
+        if is_older or life.folder in self._shunned:
+            return f"{name} speaks from a copy of its folder: {remedy}"
         if known is None or life == known:
             return ""
         if life.folder != known.folder:
-            return f"{name} was known by another folder: {again}"
+            return f"{name} was known by another folder: {remedy}"
         return ""
 
     def accept(self, name: str, life: Incarnation) -> bool:
-        """Note a life that is listened to; whether that is news, and so has to be made durable."""
-        news = self._known.get(name) != life
+        """Accept an incarnation; returns whether it is a new one, which has to be made durable."""
+        is_new = self._known.get(name) != life
         self._known[name] = life
-        return news
+        return is_new
 
     def revert(self, name: str, durable: dict[str, Incarnation]) -> None:
-        """What was heard of a member could not be made durable: the last that was counts."""
+        """Go back to a member's last durable incarnation, since the accepted one could not be written."""
         if name in durable:
             self._known[name] = durable[name]
         else:
             self._known.pop(name, None)
 
     def retain_members(self, names: tuple[str, ...]) -> bool:
-        """Forget those that are no members any more; whether there were any."""
-        gone = [name for name in self._known if name not in names]
-        for name in gone:
+        """Forget all members except ``names``; returns whether any was forgotten."""
+        removed = [name for name in self._known if name not in names]
+        for name in removed:
             del self._known[name]
             self._promises.pop(name, None)
-        return bool(gone)
+        return bool(removed)
