--- a/quorum/server.py
+++ b/quorum/server.py
@@ -1,7 +1,7 @@
-"""The shell of a member: sockets, the disk and the clock around ``Member``. It decides nothing.
+"""The network service of a member: sockets, the disk and the clock around ``Member``, which decides.
 
-Writes go to the disk in a thread of their own, several together where they pile up; what rests on one leaves
-the core only once it is durable. Where the disk refuses, nothing is acknowledged until it takes writes again.
+Writes run in a separate thread, several together if they pile up; the core releases what depends on a write
+only once it is durable. While the disk refuses writes, nothing is acknowledged.
 """
 
 from __future__ import annotations
@@ -41,41 +41,46 @@
 from tomlconfig import Address, address_of
 
 LOG = structlog.get_logger("quorum")
-MAX_QUEUED_MESSAGES = 512  # messages to a member that does not take them; the oldest goes, as any may be lost
-MAX_CLIENTS = 2048
-ACCEPT_BACKLOG = 1024  # connections that wait to be accepted: a whole fleet may come at once
-RECONNECT_PAUSES_S = (0.05, 1.0)  # s before a connection to a member is tried again: at first, and at most
-DISK_RETRY_US = 500_000  # before a write that the disk refused is tried again
-CLIENT_IDLE_S = 30.0  # s without a frame after which a client's connection is closed
+# Messages queued for a member that does not read them. Beyond that the oldest is dropped, since Raft
+# tolerates the loss of any message.
+MAX_QUEUED_MESSAGES = 512
+MAX_CLIENTS = 2048  # connections
+ACCEPT_BACKLOG = 1024  # connections that wait to be accepted; a whole fleet may connect at once
+RECONNECT_PAUSES_S = (0.05, 1.0)  # first and longest pause before connecting to a member again
+DISK_RETRY_US = 500_000  # after which a refused write, or making the reserve again, is retried
+CLIENT_IDLE_S = 30.0  # after which a client's connection without frames or awaited answers is closed
 
 
 class PeerLink:
-    """The way to another member: a connection that is made again whenever it ends, and a bounded queue."""
+    """The outgoing link to another member: a connection, re-established when it ends, and a bounded queue."""
 
     def __init__(self, name: str, address: Address, hello: Hello, random: Random) -> None:
-        self._hello, self.name, self.address, self._random = hello, name, address, random
+        self._hello = hello
+        self.name = name
+        self.address = address
+        self._random = random
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_MESSAGES)
-        self.rejection = ""  # why it does not listen to this one
+        self.rejection = ""  # why the other member rejects this one; empty: it does not
 
     def send(self, message: Message) -> None:
-        """Put a message on its way."""
+        """Queue a message, dropping the oldest one if the queue is full."""
         if self._queue.full():
             self._queue.get_nowait()
         self._queue.put_nowait(encode_frame(message))
 
     async def run(self) -> None:
-        """Connect, send, and again; the pauses grow unless a connection has lasted."""
+        """Connect and send forever; the pauses between connections grow unless one has lasted."""
         pause_s = RECONNECT_PAUSES_S[0]
         while True:
-            begun_us = now_us()
+            started_us = now_us()
             try:
                 async with asyncio.timeout(RECONNECT_PAUSES_S[1]):
                     reader, writer = await asyncio.open_connection(*self.address)
             except (OSError, TimeoutError):
                 pass
             else:
-                begun_us = now_us()
-                while not self._queue.empty():  # of before: any message may be lost, and these are old
+                started_us = now_us()
+                while not self._queue.empty():  # outdated messages from before the connection
                     self._queue.get_nowait()
                 try:
                     await self._send_all(reader, writer)
@@ -83,7 +88,7 @@
                     pass
                 finally:
                     writer.transport.abort()
-            if now_us() - begun_us > RECONNECT_PAUSES_S[1] * 1e6:
+            if now_us() - started_us > RECONNECT_PAUSES_S[1] * 1e6:
                 pause_s = RECONNECT_PAUSES_S[0]
             await asyncio.sleep(
                 RECONNECT_PAUSES_S[1] if self.rejection else pause_s * self._random.uniform(0.5, 1.5)
@@ -91,19 +96,18 @@
             pause_s = min(2 * pause_s, RECONNECT_PAUSES_S[1])
 
     async def _send_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        ended = asyncio.ensure_future(
-            wire.read_frame(reader, MAX_CLIENT_FRAME_BYTES)
-        )  # its end, and perhaps why
-        heard = asyncio.get_running_loop().call_later(RECONNECT_PAUSES_S[1], self._clear_rejection)
+        # The other member sends nothing except perhaps the reason why it closes the connection.
+        ended = asyncio.ensure_future(wire.read_frame(reader, MAX_CLIENT_FRAME_BYTES))
+        accepted = asyncio.get_running_loop().call_later(RECONNECT_PAUSES_S[1], self._clear_rejection)
         try:
             writer.write(encode_frame(self._hello))
             while not ended.done():
-                item = asyncio.ensure_future(self._queue.get())
-                await asyncio.wait({item, ended}, return_when=asyncio.FIRST_COMPLETED)
+                next_frame = asyncio.ensure_future(self._queue.get())
+                await asyncio.wait({next_frame, ended}, return_when=asyncio.FIRST_COMPLETED)
                 if ended.done():
-                    item.cancel()
+                    next_frame.cancel()
                     break
-                writer.write(item.result())
+                writer.write(next_frame.result())
                 async with asyncio.timeout(FRAME_TIMEOUT_S):
                     await writer.drain()
             body = await ended
@@ -112,7 +116,7 @@
                 LOG.error("a member does not listen to this one", member=self.name, why=why)
             self.rejection = why
         finally:
-            heard.cancel()
+            accepted.cancel()
             ended.cancel()
             with suppress(asyncio.CancelledError, OSError, WireError):
                 await ended
@@ -122,11 +126,12 @@
 
 
 class Server:
-    """One member in service."""
+    """A running member."""
 
     def __init__(self, config: Config) -> None:
-        """``StoreError`` where the folder cannot be used."""
-        self._config, self._random = config, Random()
+        """Open the member's folder; raises ``StoreError`` if it cannot be used."""
+        self._config = config
+        self._random = Random()
         self._store = Store(Path(config.folder), config.reserve_kb * 1024)
         times = config.times
         timing = Timing(
@@ -142,22 +147,20 @@
         self._incarnations = IncarnationRegistry(config.name, self._store.incarnations, self._store.shunned)
         self._incarnations_lock = asyncio.Lock()
         self._peers: dict[str, tuple[PeerLink, asyncio.Task[None]]] = {}
-        self._member_connections: dict[
-            str, tuple[asyncio.StreamWriter, str]
-        ] = {}  # members' connections and folders
+        # Incoming connections of other members by name, with the folder that the member runs on.
+        self._member_connections: dict[str, tuple[asyncio.StreamWriter, str]] = {}
         self._writes: list[Persist] = []
         self._write_needed = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
         self._due_us = 0
-        self._pending_requests: dict[
-            int, tuple[asyncio.StreamWriter, int, str]
-        ] = {}  # by tag: who, its number, what
+        # Unanswered requests by tag: the client's connection, its request number, and the request's kind.
+        self._pending_requests: dict[int, tuple[asyncio.StreamWriter, int, str]] = {}
         self._last_tag = 0
-        self._request_batch: list[tuple[int, Request]] = []  # that came in this turn of the loop
+        self._request_batch: list[tuple[int, Request]] = []  # received in this iteration of the event loop
         self._connections: set[asyncio.StreamWriter] = set()
         self._client_count = 0
-        self._disk_error = ""
-        self._reserve_retry_us = 0  # when the reserve is made again at the earliest
+        self._disk_error = ""  # why the disk refused a write; empty once it accepts writes again
+        self._reserve_retry_us = 0  # the earliest time to allocate the reserve again
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._last_leader_and_term = ("", 0)
@@ -173,7 +176,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, reach for the others, and take part; ``OSError`` where an address cannot be had."""
+        """Listen, connect to the other members, and take part; raises ``OSError`` if it cannot listen."""
         self._server = await asyncio.start_server(
             self._handle_connection, *self._config.listen_address, backlog=ACCEPT_BACKLOG
         )
@@ -192,7 +195,7 @@
         return task
 
     def _update_peers(self, config: Config) -> None:
-        """Ways to all others as the configuration has them; those that stand stay."""
+        """Adapt the links to the members' addresses in a configuration; unchanged ones stay connected."""
         for name, (peer, task) in list(self._peers.items()):
             if config.others.get(name) != peer.address:
                 task.cancel()
@@ -203,13 +206,13 @@
                 self._peers[name] = (peer, self._spawn(peer.run()))
 
     def reload(self, config: Config) -> None:
-        """Another table of addresses; whatever else differs counts at the next start."""
+        """Apply a new configuration's addresses of members; other changes need a restart."""
         self._config = msgspec.structs.replace(self._config, members=config.members)
         self._update_peers(self._config)
         LOG.info("members' addresses were read again", members=sorted(config.members))
 
     async def stop(self) -> None:
-        """End; what is durable stands, and nothing else was promised."""
+        """Close all connections and the folder. Nothing that is not durable yet was acknowledged."""
         if self._server is not None:
             self._server.close()
         self._pages.stop()
@@ -224,26 +227,26 @@
 
     # Steps
 
-    def _carry_out(self, out: list[Output]) -> None:
-        """Carry out what a step of the member has decided."""
-        for item in out:
-            match item:
+    def _carry_out(self, outputs: list[Output]) -> None:
+        """Carry out the outputs of a step of the member."""
+        for output in outputs:
+            match output:
                 case Send():
-                    if item.to in self._peers:
-                        self._peers[item.to][0].send(item.message)
+                    if output.to in self._peers:
+                        self._peers[output.to][0].send(output.message)
                 case Persist():
-                    if item.snapshot is not None:
-                        self._writes.clear()  # it holds whatever was to be written before
-                    self._writes.append(item)
+                    if output.snapshot is not None:
+                        self._writes.clear()  # superseded: this write holds the complete state
+                    self._writes.append(output)
                     self._write_needed.set()
                 case Reply():
-                    self._reply(item)
+                    self._reply(output)
                 case MembersChanged():
-                    if self._incarnations.retain_members(item.names):
+                    if self._incarnations.retain_members(output.names):
                         self._spawn(self._save_incarnations())
                 case FoldersShunned():
-                    if news := [folder for folder in item.folders if self._incarnations.shun(folder)]:
-                        self._disconnect_shunned(news)
+                    if folders := [folder for folder in output.folders if self._incarnations.shun(folder)]:
+                        self._disconnect_shunned(folders)
         raft = self._member.raft
         if (raft.leader, raft.term) != self._last_leader_and_term:
             self._last_leader_and_term = (raft.leader, raft.term)
@@ -251,13 +254,13 @@
             LOG.info("leader", leader=raft.leader or "unknown", term=raft.term, role=raft.role.value)
         self._arm_timer()
 
-    def _reply(self, item: Reply) -> None:
-        writer, number, asked = self._pending_requests.pop(item.tag, (None, 0, ""))
+    def _reply(self, reply: Reply) -> None:
+        writer, number, kind = self._pending_requests.pop(reply.tag, (None, 0, ""))
         if writer is None:
             return
-        self._metrics.requests.labels(asked, type(item.response).__name__).inc()
+        self._metrics.requests.labels(kind, type(reply.response).__name__).inc()
         if not writer.is_closing():
-            writer.write(encode_frame(wire.Told(number, item.response)))
+            writer.write(encode_frame(wire.Told(number, reply.response)))
 
     def _arm_timer(self) -> None:
         due_us = self._member.due_us
@@ -275,25 +278,25 @@
     # Disk
 
     async def _write_loop(self) -> None:
-        """Write what piles up; a disk that refuses is asked again, and nothing is promised meanwhile."""
+        """Write what is pending, several writes at once, and retry until the disk accepts them."""
         while True:
             await self._write_needed.wait()
-            some = list(self._writes)
+            writes = list(self._writes)
             try:
                 with self._metrics.sync_seconds.time():
-                    await asyncio.to_thread(self._store.write, some)
+                    await asyncio.to_thread(self._store.write, writes)
             except OSError as error:
                 await self._handle_disk_error(error)
                 continue
-            number = some[-1].number
-            self._writes = [item for item in self._writes if item.number > number]
+            number = writes[-1].number
+            self._writes = [write for write in self._writes if write.number > number]
             if not self._writes:
                 self._write_needed.clear()
             self._try_restore_reserve()
             self._carry_out(self._member.synced(now_us(), number))
 
     async def _handle_disk_error(self, error: OSError) -> None:
-        """The disk refuses: first the reserve goes, then the log is made as small as it can be."""
+        """Make room on a disk that refuses a write: first give up the reserve, then compact the log."""
         first, self._disk_error = not self._disk_error, error.strerror or "refused"
         self._reserve_retry_us = now_us() + DISK_RETRY_US
         if first:
@@ -305,7 +308,7 @@
         await asyncio.sleep(DISK_RETRY_US / 1e6)
 
     def _try_restore_reserve(self) -> None:
-        """Whether the disk, which takes writes, also has room for the reserve again."""
+        """After a disk error, report the disk as usable once the reserve can be allocated again."""
         if not self._disk_error or now_us() < self._reserve_retry_us:
             return
         self._reserve_retry_us = now_us() + DISK_RETRY_US
@@ -363,7 +366,10 @@
                 del self._member_connections[name]
 
     async def _rejection_reason(self, hello: Hello) -> str:
-        """Why a member is not listened to; a life that is, is durable before."""
+        """Return why a member's connection is rejected, or an empty string if it is accepted.
+
+        An accepted incarnation is durable before this returns.
+        """
         name, life = hello.member, hello.life
         if name == self._config.name or name not in self._peers or life is None:
             return f"{name!r} is no other member here"
@@ -381,12 +387,11 @@
                 except OSError as error:
                     self._incarnations.revert(name, self._store.incarnations)
                     return f"the disk refuses to note who was heard: {error.strerror}"
-            return self._incarnations.rejection_reason(
-                name, life, hello.claim
-            )  # it may have been shunned meanwhile
+            # It may have been shunned while the write was under way.
+            return self._incarnations.rejection_reason(name, life, hello.claim)
 
     def _disconnect_shunned(self, folders: list[str]) -> None:
-        """Folders that are not heard from now on."""
+        """Disconnect the members that run on newly shunned folders."""
         LOG.error("a folder has forgotten promises and is not heard", folders=folders)
         for name, (writer, folder) in list(self._member_connections.items()):
             if folder in folders:
@@ -398,9 +403,9 @@
         self._spawn(self._save_incarnations())
 
     async def _save_incarnations(self) -> None:
-        """Make durable who is heard; one that was taken out may come back with another folder."""
+        """Make the accepted incarnations durable; a removed member may return with another folder."""
         async with self._incarnations_lock:
-            with suppress(OSError):  # it stands in the log too
+            with suppress(OSError):  # the log holds the same information
                 await asyncio.to_thread(
                     self._store.save_incarnations, self._incarnations.known, self._incarnations.shunned
                 )
@@ -414,7 +419,7 @@
                 try:
                     body = await wire.read_frame(reader, MAX_CLIENT_FRAME_BYTES, CLIENT_IDLE_S)
                 except TimeoutError:
-                    if any(asker is writer for asker, _, _ in self._pending_requests.values()):
+                    if any(client is writer for client, _, _ in self._pending_requests.values()):
                         continue  # it waits for an answer
                     return
                 if not body:
@@ -423,80 +428,82 @@
                 await writer.drain()
         finally:
             self._client_count -= 1
-            gone = [tag for tag, (asker, _, _) in self._pending_requests.items() if asker is writer]
-            for tag in gone:
+            cancelled = [tag for tag, (client, _, _) in self._pending_requests.items() if client is writer]
+            for tag in cancelled:
                 del self._pending_requests[tag]
-            self._member.cancel(gone)
+            self._member.cancel(cancelled)
 
-    def _handle_client_message(self, writer: asyncio.StreamWriter, asked: wire.ClientMessage) -> None:
-        match asked:
+    def _handle_client_message(self, writer: asyncio.StreamWriter, message: wire.ClientMessage) -> None:
+        match message:
             case wire.Ask():
-                tag = self._register_request(writer, asked.number, type(asked.request).__name__)
+                tag = self._register_request(writer, message.number, type(message.request).__name__)
                 if not self._request_batch:
                     asyncio.get_running_loop().call_soon(self._submit_batch)
-                self._request_batch.append((tag, asked.request))
+                self._request_batch.append((tag, message.request))
             case wire.Status():
-                writer.write(encode_frame(self.health(asked.number)))
+                writer.write(encode_frame(self.health(message.number)))
             case wire.Leases():
-                writer.write(encode_frame(self._list_leases(asked.number)))
+                writer.write(encode_frame(self._list_leases(message.number)))
             case wire.Copy():
                 LOG.info("an operator takes a snapshot")
                 self._carry_out(self._member.compact())
-                writer.write(encode_frame(wire.Copied(asked.number, self._member.raft.log.snapshot)))
+                writer.write(encode_frame(wire.Copied(message.number, self._member.raft.log.snapshot)))
             case wire.StepDown():
                 LOG.info("an operator wants another leader")
                 leads = self._member.raft.role is Role.LEADER
                 self._carry_out(self._member.step_down(now_us()))
                 answer = Done() if leads else Elsewhere(self._member.raft.leader)
-                writer.write(encode_frame(wire.Told(asked.number, answer)))
+                writer.write(encode_frame(wire.Told(message.number, answer)))
             case wire.Change():
-                self._change_members(writer, asked)
+                self._change_members(writer, message)
 
     def _submit_batch(self) -> None:
-        """Requests that came in one turn of the loop are one step."""
-        some, self._request_batch = self._request_batch, []
-        self._carry_out(self._member.request_all(now_us(), some))
+        """Handle all requests received in one iteration of the event loop as one step of the member."""
+        requests, self._request_batch = self._request_batch, []
+        self._carry_out(self._member.request_all(now_us(), requests))
 
-    def _register_request(self, writer: asyncio.StreamWriter, number: int, asked: str) -> int:
-        """A tag by which an answer comes back to who asked."""
+    def _register_request(self, writer: asyncio.StreamWriter, number: int, kind: str) -> int:
+        """Return a new tag that leads a request's answer back to its client."""
         self._last_tag += 1
-        self._pending_requests[self._last_tag] = (writer, number, asked)
+        self._pending_requests[self._last_tag] = (writer, number, kind)
         return self._last_tag
 
-    def _change_members(self, writer: asyncio.StreamWriter, asked: wire.Change) -> None:
+    def _change_members(self, writer: asyncio.StreamWriter, change: wire.Change) -> None:
         raft = self._member.raft
-        names = {*raft.members, asked.add} - {asked.remove, ""}
+        names = {*raft.members, change.add} - {change.remove, ""}
         why = ""
         if raft.role is not Role.LEADER:
-            writer.write(encode_frame(wire.Told(asked.number, Elsewhere(raft.leader))))
+            writer.write(encode_frame(wire.Told(change.number, Elsewhere(raft.leader))))
             return
-        if asked.add and asked.add not in self._config.members:
-            why = f"{asked.add!r} has no address in the members' table of {self._config.name}"
-        elif asked.add in raft.members or (asked.remove and asked.remove not in raft.members):
+        if change.add and change.add not in self._config.members:
+            why = f"{change.add!r} has no address in the members' table of {self._config.name}"
+        elif change.add in raft.members or (change.remove and change.remove not in raft.members):
             why = f"the members are {', '.join(raft.members)}"
         elif not names:
             why = "one member has to stay"
         elif not raft.can_change_members:
             why = "another change is under way, or the leader is new: ask again"
         if why:
-            writer.write(encode_frame(wire.Told(asked.number, Refused(why))))
+            writer.write(encode_frame(wire.Told(change.number, Refused(why))))
             return
         LOG.info("an operator changes the members", members=sorted(names))
-        tag = self._register_request(writer, asked.number, "Change")
+        tag = self._register_request(writer, change.number, "Change")
         self._carry_out(self._member.change_members(now_us(), tag, tuple(sorted(names))))
 
     # Operators
 
     def health(self, number: int) -> wire.Health:
-        """How this member is."""
+        """Return this member's status; ``number`` is the number of the request that asked for it."""
         member, raft = self._member, self._member.raft
         followers = raft.leader_state.followers if raft.leader_state is not None else {}
-        full = {name for name, some in followers.items() if some.disk_full}
+        full = {name for name, follower in followers.items() if follower.disk_full}
         state = member.machine.state
         return wire.Health(
             number=number, name=self._config.name, role=raft.role.value, term=raft.term, leader=raft.leader,
             commit=raft.commit, applied=member.applied, members=raft.members,
-            lag={name: raft.log.last_index - some.match_index for name, some in followers.items()},
+            lag={
+                name: raft.log.last_index - follower.match_index for name, follower in followers.items()
+            },
             leases=len(state.leases), sessions=len(state.sessions), records=len(state.records),
             waiting=len(member.waiting) + len(member.watching), log_entries=len(raft.log),
             log_bytes=self._store.size_bytes, disk=self._disk_error,
@@ -506,8 +513,8 @@
 
     def _ready_page(self) -> Page:
         health = self.health(0)
-        word = f"{health.role} of term {health.term}, leader {health.leader or 'unknown'}\n"
-        return Page(200 if health.ready else 503, word.encode())
+        text = f"{health.role} of term {health.term}, leader {health.leader or 'unknown'}\n"
+        return Page(200 if health.ready else 503, text.encode())
 
     def _list_leases(self, number: int) -> wire.Listed:
         member = self._member
