--- a/quorum/store.py
+++ b/quorum/store.py
@@ -1,10 +1,12 @@
-"""What a member keeps on its disk: one log that is only ever appended to, and replaced whole by a snapshot.
+"""A member's folder on disk: an append-only log file, which a snapshot replaces as a whole.
 
-Beside it stand ``lives`` (whose life was heard last), ``lock`` (held while a process runs on the folder) and
-``reserve`` (room that is given up once the disk is full, so that what may not wait is still written).
+Besides ``log`` the folder has ``lives`` (the incarnations that this member accepted last), ``lock`` (locked
+while a process runs on the folder) and ``reserve`` (space that is given up once the disk is full, so that
+writes which cannot be deferred still succeed).
 
-A record is its length, its checksum, and a ``Persist`` without its number. A crash may tear the last one,
-which then never counted: nothing was promised on it. One that is broken before others is damage, and told.
+A log record is its length, its checksum, and a ``Persist`` without its number. A crash may leave the last
+record incomplete; it is cut off, as nothing was acknowledged that depends on it. A broken record that is
+followed by others is damage, and an error.
 """
 
 from __future__ import annotations
@@ -25,17 +27,17 @@
 from quorum.log import Log
 from quorum.messages import Entry, HardState, Persist, RecoveredState, Snapshot
 
-RECORD_HEADER = struct.Struct("<II")  # length and CRC-32 of what follows
-DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)  # what a disk says that is full
-MAX_RECORD_BYTES = 64 * 1024 * 1024  # bytes; a length beyond is none
+RECORD_HEADER = struct.Struct("<II")  # length and CRC-32 of the body that follows
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # a length above this is not a valid header
 
 
 class StoreError(RuntimeError):
-    """The folder cannot be used: what is in it, in one line."""
+    """The folder cannot be used; the message says why in one line."""
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record."""
+    """One record of the log file: a ``Persist`` without its number."""
 
     hard: HardState | None = None
     first: int = 0
@@ -47,7 +49,7 @@
 
 
 class KnownIncarnations(msgspec.Struct, frozen=True):
-    """The file ``lives``: this folder's name, the starts in it, and the others' lives."""
+    """The file ``lives``: this folder's name, its number of starts, and the other members' incarnations."""
 
     folder: str
     start: int
@@ -56,13 +58,13 @@
 
 
 class LogReplay:
-    """What some writes in a row come to."""
+    """The state that results from a sequence of writes."""
 
     def __init__(self) -> None:
         self._hard, self._log = HardState(), Log(Snapshot(), ())
 
     def add(self, written: Persist | LogRecord) -> None:
-        """One more write."""
+        """Apply the next write."""
         if written.hard is not None:
             self._hard = written.hard
         if written.snapshot is not None:
@@ -72,74 +74,80 @@
 
     @property
     def saved(self) -> RecoveredState:
-        """What a member starts from."""
+        """The resulting state, from which a member starts."""
         log = self._log
         entries = tuple(log.entry_at(index) for index in range(log.first_index, log.last_index + 1))
         return RecoveredState(self._hard, log.snapshot, entries)
 
 
 def encode_record(written: LogRecord) -> bytes:
-    """A record as it stands in the file."""
+    """Encode a record as it is stored in the file."""
     body = msgspec.msgpack.encode(written)
     return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def read_records(data: bytes) -> tuple[list[LogRecord], int]:
-    """The records of a file and where they end; ``StoreError`` where one is broken before others."""
-    found, at = list[LogRecord](), 0
-    while at + RECORD_HEADER.size <= len(data):
-        size, checksum = RECORD_HEADER.unpack_from(data, at)
-        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+    """Return the records of a log file and the offset where they end.
+
+    Raises ``StoreError`` for a broken record that is followed by an intact one, or an undecodable record.
+    """
+    records, offset = list[LogRecord](), 0
+    while offset + RECORD_HEADER.size <= len(data):
+        size, checksum = RECORD_HEADER.unpack_from(data, offset)
+        body = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + size]
         if size > MAX_RECORD_BYTES or len(body) < size or zlib.crc32(body) != checksum:
             break
         try:
-            found.append(_RECORD_DECODER.decode(body))
+            records.append(_RECORD_DECODER.decode(body))
         except msgspec.DecodeError as error:
-            raise StoreError(f"a record at byte {at} cannot be read: {error}") from None
-        at += RECORD_HEADER.size + size
-    if _intact_record_follows(data, at):
-        raise StoreError(f"the record at byte {at} is damaged, and others stand behind it")
-    return found, at
+            raise StoreError(f"the record at byte {offset} cannot be decoded: {error}") from None
+        offset += RECORD_HEADER.size + size
+    if _intact_record_follows(data, offset):
+        raise StoreError(f"the record at byte {offset} is damaged, and intact records follow it")
+    return records, offset
 
 
-def _intact_record_follows(data: bytes, at: int) -> bool:
-    """Whether a broken record is followed by a whole one, which a torn end is not."""
-    if at + RECORD_HEADER.size > len(data):
+def _intact_record_follows(data: bytes, offset: int) -> bool:
+    """Whether the broken record at ``offset`` is followed by an intact one, so that it is no torn end."""
+    if offset + RECORD_HEADER.size > len(data):
         return False
-    size = int(RECORD_HEADER.unpack_from(data, at)[0])
-    behind = at + RECORD_HEADER.size + size
-    if size > MAX_RECORD_BYTES or behind + RECORD_HEADER.size > len(data):
+    size = int(RECORD_HEADER.unpack_from(data, offset)[0])
+    next_offset = offset + RECORD_HEADER.size + size
+    if size > MAX_RECORD_BYTES or next_offset + RECORD_HEADER.size > len(data):
         return False
-    size, checksum = RECORD_HEADER.unpack_from(data, behind)
-    body = data[behind + RECORD_HEADER.size : behind + RECORD_HEADER.size + size]
+    size, checksum = RECORD_HEADER.unpack_from(data, next_offset)
+    body = data[next_offset + RECORD_HEADER.size : next_offset + RECORD_HEADER.size + size]
     return bool(size) and len(body) == size and zlib.crc32(body) == int(checksum)
 
 
 def write_whole(handle: int, data: bytes) -> None:
-    """Write all of it and make it durable; ``OSError`` where the disk refuses, perhaps behind a part."""
+    """Write all data and make it durable; raises ``OSError``, possibly after a part was written."""
     while data:
         data = data[os.write(handle, data) :]
     os.fsync(handle)
 
 
 def replace_file(path: Path, data: bytes) -> int:
-    """A new file in place of an old one at once, durably; its descriptor. ``OSError``: the old one stands."""
-    new = path.with_suffix(".new")
-    handle = os.open(new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+    """Replace a file atomically and durably; returns the new file's descriptor.
+
+    Raises ``OSError`` if the disk refuses, and the old file stays.
+    """
+    new_path = path.with_suffix(".new")
+    handle = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
     try:
         write_whole(handle, data)
-        os.rename(new, path)
+        os.rename(new_path, path)
         sync_folder(path.parent)
     except OSError:
         os.close(handle)
         with suppress(OSError):
-            new.unlink()  # what it took of a full disk comes back
+            new_path.unlink()  # returns its space, which may be what the disk lacks
         raise
     return handle
 
 
 def sync_folder(folder: Path) -> None:
-    """Make a folder's own entries durable."""
+    """Make a folder's directory entries durable."""
     handle = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -148,10 +156,13 @@
 
 
 class Store:
-    """The folder; its calls block, and whoever runs a loop makes them elsewhere."""
+    """A member's folder. Its methods block, so an event loop has to call them in a thread."""
 
     def __init__(self, folder: Path, reserve_bytes: int = 0) -> None:
-        """Open a folder; ``StoreError`` where it cannot be used, and where a torn end cannot be cut off."""
+        """Open or create a folder, cut off an incomplete last record, and begin a new incarnation.
+
+        Raises ``StoreError`` if the folder is in use by another process, damaged, or cannot be written.
+        """
         self._folder, self._log_path, self._reserve_bytes = folder, folder / "log", reserve_bytes
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -169,10 +180,10 @@
             raise StoreError(f"{folder}: another process runs on this folder") from None
         except OSError as error:
             raise StoreError(f"{self._log_path}: {error.strerror}") from error
-        folded = LogReplay()
+        replay = LogReplay()
         for record in records:
-            folded.add(record)
-        self.saved = folded.saved  # what a member starts from
+            replay.add(record)
+        self.saved = replay.saved  # the state from which a member starts
         self._size_bytes, self._io_lock, self._closed = end, threading.Lock(), False
         self.reserved = self.allocate_reserve()
 
@@ -182,7 +193,7 @@
             known = msgspec.json.decode(path.read_bytes(), type=KnownIncarnations)
         except FileNotFoundError:
             if self._log_path.stat().st_size:
-                raise StoreError(f"{path}: there is a log and not this") from None
+                raise StoreError(f"{path}: the file is missing although there is a log") from None
             known = KnownIncarnations(secrets.token_hex(8), 0, {})
         except msgspec.DecodeError as error:
             raise StoreError(f"{path}: {error}") from None
@@ -190,18 +201,18 @@
         self.save_incarnations(known.lives, known.shunned)
 
     def save_incarnations(self, lives: dict[str, Incarnation], shunned: tuple[str, ...]) -> None:
-        """Make durable whose lives are heard; ``OSError`` where the disk refuses, and the old ones stand."""
+        """Make the accepted incarnations durable; on ``OSError`` the previous ones stay in force."""
         known = KnownIncarnations(self.incarnation.folder, self.incarnation.start, lives, shunned)
         os.close(replace_file(self._folder / "lives", msgspec.json.encode(known)))
         self.incarnations, self.shunned = lives, shunned
 
     @property
     def size_bytes(self) -> int:
-        """The size of the log's file."""
+        """The size of the log file."""
         return self._size_bytes
 
     def allocate_reserve(self) -> bool:
-        """Take room beforehand; whether it is there."""
+        """Allocate the reserve; returns whether it is there, which is also so if none is configured."""
         if not self._reserve_bytes:
             return True
         try:
@@ -217,26 +228,30 @@
         return True
 
     def release_reserve(self) -> bool:
-        """Let go of that room; whether there was any."""
+        """Free the reserve; returns whether there was one."""
         had, self.reserved = getattr(self, "reserved", False) and bool(self._reserve_bytes), False
         with suppress(OSError):
             (self._folder / "reserve").unlink(missing_ok=True)
         return had
 
     def write(self, writes: list[Persist]) -> None:
-        """Make writes durable, in order; ``OSError`` where the disk refuses, and then none of them counts."""
-        whole = max((at for at, item in enumerate(writes) if item.snapshot is not None), default=None)
-        some = writes[whole:] if whole is not None else writes  # one with a snapshot holds all before it
+        """Make writes durable, in order; raises ``OSError`` if the disk refuses, and none takes effect."""
+        last_snapshot = max(
+            (position for position, write in enumerate(writes) if write.snapshot is not None), default=None
+        )
+        # A write with a snapshot holds the complete state, so it supersedes the writes before it.
+        needed = writes[last_snapshot:] if last_snapshot is not None else writes
         data = b"".join(
-            encode_record(LogRecord(item.hard, item.first, item.entries, item.snapshot)) for item in some
+            encode_record(LogRecord(write.hard, write.first, write.entries, write.snapshot))
+            for write in needed
         )
         with self._io_lock:
             if self._closed:
                 raise OSError(errno.EBADF, "closed")
-            self._write(data, whole is not None)
+            self._write(data, last_snapshot is not None)
 
-    def _write(self, data: bytes, whole: bool) -> None:
-        if whole:
+    def _write(self, data: bytes, replace: bool) -> None:
+        if replace:
             handle = replace_file(self._log_path, data)
             os.close(self._file)
             self._file, self._size_bytes = handle, len(data)
@@ -244,12 +259,13 @@
         try:
             write_whole(self._file, data)
         except OSError:
-            os.ftruncate(self._file, self._size_bytes)  # half a record before others would be damage
+            # A partial record would count as damage once another record follows it.
+            os.ftruncate(self._file, self._size_bytes)
             raise
         self._size_bytes += len(data)
 
     def close(self) -> None:
-        """Let go of the folder, once a write that is under way has ended."""
+        """Close the folder's files and release its lock, after any write that is under way."""
         with self._io_lock:
             self._closed = True
             os.close(self._file)
@@ -257,7 +273,10 @@
 
 
 def restore(folder: Path, snapshot: Snapshot) -> None:
-    """A new folder that begins from a snapshot; ``StoreError`` where one is there, or the disk refuses."""
+    """Create a folder that starts from a snapshot.
+
+    Raises ``StoreError`` if the folder is not empty or the disk refuses.
+    """
     if folder.exists() and any(folder.iterdir()):
         raise StoreError(f"{folder}: the folder is not empty")
     store = Store(folder)
