--- a/quorum/client.py
+++ b/quorum/client.py
@@ -1,7 +1,8 @@
-"""The client's shell: a session with a quorum that rides out changes of its leader.
+"""A client of a quorum: a session that continues across changes of the leader.
 
-A request is repeated under the same session and number until its answer is certain, so that it counts once;
-between tries the pauses grow, with jitter, up to a bound. A lease counts from an answer's ``lease_start_us``.
+A request is repeated under the same session and sequence number until its answer is certain, so that it takes
+effect once. The pauses between attempts grow, with jitter, up to a bound. A lease has to be counted from the
+``lease_start_us`` of the answer that granted or renewed it.
 """
 
 from __future__ import annotations
@@ -31,43 +32,49 @@
 from quorum.wire import MAX_FRAME_BYTES, PROTOCOL_VERSION, Hello, WireError, encode_frame
 from tomlconfig import Address
 
-FIRST_TRY_S, MAX_TRY_S = (
-    0.5,
-    4.0,
-)  # s for a first try, beside what the request itself may wait, and for later ones
+# Timeouts of an attempt, in addition to the time for which the request itself may wait.
+FIRST_TRY_S = 0.5  # of the first one; doubled after each attempt without an answer
+MAX_TRY_S = 4.0
 CONNECT_TIMEOUT_S = 0.5
-RETRY_PAUSES_S = (0.02, 1.0)  # between tries: at first, and at most
+RETRY_PAUSES_S = (0.02, 1.0)  # first and longest pause between attempts
 
 
 class QuorumError(RuntimeError):
-    """There is no certain answer in the time that was given."""
+    """The quorum gave no certain answer in time, or did not do what was asked."""
 
 
 class SessionError(QuorumError):
-    """The session is over: what it held is not held any more."""
+    """The session has ended, and with it all leases that it held."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimedResponse:
-    """An answer, and from when on what it brings may be counted."""
+    """An answer, with the time from which a lease that it grants or renews has to be counted."""
 
     response: Response
     lease_start_us: int
 
 
 class Client:
-    """One session: its requests go one after the other, whoever makes them."""
+    """One session; concurrent requests are sent one after the other."""
 
     def __init__(self, members: Mapping[str, Address], owner: str, random: Random | None = None) -> None:
-        self._members, self._owner, self._random = dict(members), owner, random or Random()
-        self._leader = ""
+        self._members = dict(members)
+        self._owner = owner
+        self._random = random or Random()
+        self._leader = ""  # the member believed to lead; empty: unknown
         self._connection: tuple[str, asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self._last_number = 0  # of requests on the connection
-        self._session, self._seq = 0, 0
+        self._last_number = 0  # joins a request to its answer on the connection
+        self._session = 0  # 0: none
+        self._seq = 0  # sequence number of the session's last command
         self._request_lock = asyncio.Lock()
 
     async def ask(self, request: Request, within_s: float) -> TimedResponse:
-        """Ask until the answer is certain; ``QuorumError`` where that takes longer."""
+        """Send a request until its answer is certain.
+
+        Raises ``QuorumError`` if that takes longer than ``within_s`` seconds, and ``SessionError`` if the
+        session has ended.
+        """
         try:
             async with asyncio.timeout(within_s + FIRST_TRY_S), self._request_lock:
                 return await self._ask_until_certain(request, within_s)
@@ -75,25 +82,28 @@
             raise QuorumError(f"no certain answer within {within_s:g} s") from None
 
     async def _ask_until_certain(self, request: Request, within_s: float) -> TimedResponse:
-        asking, pause_s, try_s, repeated = RequestTiming(), RETRY_PAUSES_S[0], FIRST_TRY_S, False
-        until_us = now_us() + int(within_s * 1e6)
-        waits_s = request.wait_ms / 1000 if isinstance(request, Wait | Watch) else 0.0
-        while now_us() < until_us:
-            asking.record_sent(now_us())
-            response = await self._try_once(request, try_s + waits_s)
-            certain = response is not None and not isinstance(response, Elsewhere | Unknown)
-            if response is not None and certain and not (repeated and isinstance(response, NoRoom)):
+        timing, pause_s, try_s, repeated = RequestTiming(), RETRY_PAUSES_S[0], FIRST_TRY_S, False
+        deadline_us = now_us() + int(within_s * 1e6)
+        wait_s = request.wait_ms / 1000 if isinstance(request, Wait | Watch) else 0.0
+        while now_us() < deadline_us:
+            timing.record_sent(now_us())
+            response = await self._try_once(request, try_s + wait_s)
+            is_certain = response is not None and not isinstance(response, Elsewhere | Unknown)
+            # After an attempt with an unknown outcome, ``NoRoom`` for a repeat does not tell that outcome.
+            if response is not None and is_certain and not (repeated and isinstance(response, NoRoom)):
                 if response == Refused(NO_SESSION):
                     self._session = 0
                     raise SessionError(NO_SESSION)
-                return TimedResponse(response, asking.lease_start_us)
+                return TimedResponse(response, timing.lease_start_us)
             repeated |= not isinstance(response, Elsewhere)
             if response is None:
-                try_s = min(2 * try_s, MAX_TRY_S)  # it may be slow, and asking again makes it slower
+                try_s = min(
+                    2 * try_s, MAX_TRY_S
+                )  # the member may be slow; frequent repeats slow it down further
             if isinstance(response, Elsewhere) and response.leader in self._members:
-                moved = self._leader != response.leader
+                is_new_leader = self._leader != response.leader
                 self._leader = response.leader
-                if moved:
+                if is_new_leader:
                     continue
             else:
                 self._leader = ""
@@ -102,7 +112,7 @@
         raise QuorumError(f"no certain answer within {within_s:g} s")
 
     async def _try_once(self, request: Request, try_s: float) -> Response | None:
-        """One try at the member that leads, or at any; None where it brought nothing."""
+        """Send a request to the leader, or to a random member; None if no answer came in time."""
         name = self._leader or self._random.choice(list(self._members))
         try:
             reader, writer = await self._connect_to(name)
@@ -110,15 +120,15 @@
             writer.write(encode_frame(wire.Ask(self._last_number, request)))
             async with asyncio.timeout(try_s):
                 while body := await wire.read_frame(reader, MAX_FRAME_BYTES):
-                    told = wire.decode_body(wire.server_message_decoder, body)
-                    if told.number == self._last_number and isinstance(told, wire.Told):
-                        if not isinstance(told.response, Elsewhere):
+                    message = wire.decode_body(wire.server_message_decoder, body)
+                    if message.number == self._last_number and isinstance(message, wire.Told):
+                        if not isinstance(message.response, Elsewhere):
                             self._leader = name
-                        return told.response
+                        return message.response
         except (OSError, TimeoutError, WireError):
             pass
         except asyncio.CancelledError:
-            self.close()  # half an answer may be read
+            self.close()  # an answer may have been read in part
             raise
         self.close()
         return None
@@ -134,25 +144,25 @@
         return reader, writer
 
     def close(self) -> None:
-        """Let go of the connection; the session stays."""
+        """Close the connection; the session stays open."""
         if self._connection is not None:
             self._connection[2].transport.abort()
             self._connection = None
 
     @property
     def has_session(self) -> bool:
-        """Whether there is a session, as far as is known here."""
+        """Whether a session was opened and is not known to have ended."""
         return bool(self._session)
 
     async def open(self, within_s: float) -> None:
-        """Begin a session."""
-        got = await self.ask(Open(self._owner), within_s)
-        if not isinstance(got.response, Done):
-            raise QuorumError(f"no session: {got.response}")
-        self._session, self._seq = got.response.session, 0
+        """Begin a session; raises ``QuorumError`` if that is not possible within ``within_s`` seconds."""
+        answer = await self.ask(Open(self._owner), within_s)
+        if not isinstance(answer.response, Done):
+            raise QuorumError(f"the session was not opened: {answer.response}")
+        self._session, self._seq = answer.response.session, 0
 
     async def end_session(self, within_s: float) -> None:
-        """End the session in order: whatever it holds is free at once."""
+        """End the session, which frees its leases at once, and close the connection."""
         if self._session:
             await self.ask(Close(self._session, self._next_seq()), within_s)
             self._session = 0
@@ -165,49 +175,49 @@
     async def acquire(
         self, lease: str, ttl_ms: int, *, delay_ms: int = 0, wait_ms: int = 0, within_s: float
     ) -> TimedResponse:
-        """Take a lease, waiting in turn for it where another holds it."""
+        """Acquire a lease, waiting up to ``wait_ms`` in its queue if another session holds it."""
         acquire = Acquire(self._session, self._next_seq(), lease, ttl_ms, delay_ms)
         return await self.ask(Wait(acquire, wait_ms) if wait_ms else acquire, within_s)
 
     async def renew(self, lease: str, token: int, within_s: float) -> TimedResponse:
-        """Hold a lease on."""
+        """Renew a lease."""
         return await self.ask(Renew(self._session, self._next_seq(), lease, token), within_s)
 
     async def release(self, lease: str, token: int, within_s: float) -> TimedResponse:
-        """Give a lease back."""
+        """Release a lease."""
         return await self.ask(Release(self._session, self._next_seq(), lease, token), within_s)
 
     async def read(self, within_s: float, *, lease: str = "", key: str = "") -> Told:
-        """What a lease and a record are."""
-        got = await self.ask(Read(lease, key), within_s)
-        if not isinstance(got.response, Told):
-            raise QuorumError(f"not read: {got.response}")
-        return got.response
+        """Read the state of a lease and of a record."""
+        answer = await self.ask(Read(lease, key), within_s)
+        if not isinstance(answer.response, Told):
+            raise QuorumError(f"the lease or record was not read: {answer.response}")
+        return answer.response
 
     async def watch(
         self, *, lease: str = "", key: str = "", seen: Told | None = None, wait_ms: int, within_s: float
     ) -> Told:
-        """What a lease or a record is, once it differs from what was seen, or after so long."""
+        """Read a lease or a record once it differs from ``seen``, or after ``wait_ms``."""
         seen = seen or Told()
         token = seen.token if seen.owner else 0
-        got = await self.ask(Watch(lease, key, token, seen.version, wait_ms), within_s)
-        if not isinstance(got.response, Told):
-            raise QuorumError(f"not watched: {got.response}")
-        return got.response
+        answer = await self.ask(Watch(lease, key, token, seen.version, wait_ms), within_s)
+        if not isinstance(answer.response, Told):
+            raise QuorumError(f"the lease or record was not watched: {answer.response}")
+        return answer.response
 
     async def put(
         self, key: str, version: int, value: bytes, *, lease: str = "", token: int = 0, within_s: float
     ) -> Answer:
-        """Write a record, if its version is that one; with a lease only while that is in force."""
+        """Write a record if it has the given version and, if ``lease`` is given, that lease is in force."""
         put = Put(self._session, self._next_seq(), key, version, value, lease, token)
-        got = await self.ask(put, within_s)
-        if not isinstance(got.response, Done | Held | Refused):
-            raise QuorumError(f"not written: {got.response}")
-        return got.response
+        answer = await self.ask(put, within_s)
+        if not isinstance(answer.response, Done | Held | Refused):
+            raise QuorumError(f"the record was not written: {answer.response}")
+        return answer.response
 
 
 class LeaseKeeper:
-    """Holds one lease for a task: renews it in time, and knows at each moment whether the task may act."""
+    """Holds one lease for a task: renews it in time and tells at any moment whether the task may act."""
 
     def __init__(self, client: Client, lease: str, ttl_ms: int, bounds: TimingBounds | None = None) -> None:
         self._client, self._lease, self._ttl_ms = client, lease, ttl_ms
@@ -215,57 +225,60 @@
         self.held_lease = HeldLease(ttl_ms * 1000, self._bounds)
 
     async def acquire(self, wait_ms: int, within_s: float, delay_ms: int = 0) -> bool:
-        """Take the lease; False where another holds it, or where what came has no time left."""
-        got = await self._client.acquire(
+        """Acquire the lease; returns False if another session holds it or no time is left under it."""
+        answer = await self._client.acquire(
             self._lease, self._ttl_ms, delay_ms=delay_ms, wait_ms=wait_ms, within_s=within_s
         )
-        if not isinstance(got.response, Done):
+        if not isinstance(answer.response, Done):
             return False
-        self.held_lease, token = HeldLease(self._ttl_ms * 1000, self._bounds), got.response.token
-        if self.held_lease.granted(got.lease_start_us, now_us(), token):
+        self.held_lease, token = HeldLease(self._ttl_ms * 1000, self._bounds), answer.response.token
+        if self.held_lease.granted(answer.lease_start_us, now_us(), token):
             return True
-        # It waited for its turn, and cannot know for how long: a renewal tells how much is left.
-        got = await self._client.renew(self._lease, token, self._ttl_ms / 1000)
-        return isinstance(got.response, Done) and self.held_lease.granted(got.lease_start_us, now_us(), token)
+        # The request waited in the queue for an unknown time, which counts against the lease. A renewal is
+        # counted from its own sending.
+        answer = await self._client.renew(self._lease, token, self._ttl_ms / 1000)
+        return isinstance(answer.response, Done) and self.held_lease.granted(
+            answer.lease_start_us, now_us(), token
+        )
 
     async def keep_renewed(self) -> None:
-        """Renew until the lease is over; returns when the task must have stopped."""
+        """Renew until the lease ends; returns when the task must not act any more."""
         while self.held_lease.may_act(now_us()):
             pause_us = self.held_lease.renew_us - now_us()
             if pause_us > 0:
                 await asyncio.sleep(pause_us / 1e6)
-            left_s = (self.held_lease.end_us - now_us()) / 1e6
-            if left_s <= 0:
+            remaining_s = (self.held_lease.end_us - now_us()) / 1e6
+            if remaining_s <= 0:
                 continue
             try:
-                got = await self._client.renew(self._lease, self.held_lease.token, left_s)
+                answer = await self._client.renew(self._lease, self.held_lease.token, remaining_s)
             except QuorumError:
                 continue
-            if isinstance(got.response, Done):
-                self.held_lease.renewed(got.lease_start_us, now_us(), got.response.token)
+            if isinstance(answer.response, Done):
+                self.held_lease.renewed(answer.lease_start_us, now_us(), answer.response.token)
             else:
                 self.held_lease.lost()
 
     async def release(self, within_s: float) -> None:
-        """An orderly end: the task has stopped, the next may have the lease at once."""
+        """Release the lease after the task has stopped, so that another process can acquire it at once."""
         token = self.held_lease.token
         self.held_lease.lost()
         await self._client.release(self._lease, token, within_s)
 
     def may_act(self) -> bool:
-        """Whether an act that is begun now is covered."""
+        """Whether the task may begin an action now."""
         return self.held_lease.may_act(now_us())
 
 
 async def ask_member(
-    address: Address, asked: wire.ClientMessage, within_s: float = 2.0
+    address: Address, message: wire.ClientMessage, within_s: float = 2.0
 ) -> wire.ServerMessage:
-    """Ask one member one thing as an operator; ``QuorumError`` where it does not answer."""
+    """Send one message to one member as an operator; raises ``QuorumError`` if it does not answer in time."""
     try:
         async with asyncio.timeout(within_s):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                writer.write(encode_frame(Hello(PROTOCOL_VERSION)) + encode_frame(asked))
+                writer.write(encode_frame(Hello(PROTOCOL_VERSION)) + encode_frame(message))
                 body = await wire.read_frame(reader, MAX_FRAME_BYTES)
                 if not body:
                     raise WireError("it ended the connection")
@@ -278,7 +291,7 @@
 
 
 async def member_status(address: Address, within_s: float = 2.0) -> wire.Health:
-    """Ask one member for itself; ``QuorumError`` where it does not answer."""
+    """Return one member's status; raises ``QuorumError`` if it does not answer in time."""
     answer = await ask_member(address, wire.Status(1), within_s)
     if not isinstance(answer, wire.Health):
         raise QuorumError(f"{address[0]}:{address[1]} answers something else")
@@ -286,25 +299,28 @@
 
 
 async def find_leader(members: Mapping[str, Address]) -> Address:
-    """Where the member is that leads, by the latest term that any tells; ``QuorumError`` where none does."""
-    found = [(0, "")]
+    """Return the leader's address, by the latest term that any member reports.
+
+    Raises ``QuorumError`` if no member is known to lead.
+    """
+    reported = [(0, "")]
     for address in members.values():
         try:
             health = await member_status(address)
         except QuorumError:
             continue
-        found.append((health.term, health.leader))
-    leader = max(found)[1]
+        reported.append((health.term, health.leader))
+    leader = max(reported)[1]
     if leader not in members:
         raise QuorumError("no member leads")
     return members[leader]
 
 
 async def order_leader(
-    members: Mapping[str, Address], asked: wire.ClientMessage, within_s: float = 5.0
+    members: Mapping[str, Address], message: wire.ClientMessage, within_s: float = 5.0
 ) -> None:
-    """Have the leader do something; ``QuorumError`` with its reason where it does not."""
-    answer = await ask_member(await find_leader(members), asked, within_s)
+    """Send an operator's order to the leader; raises ``QuorumError`` with the reason if it is refused."""
+    answer = await ask_member(await find_leader(members), message, within_s)
     response = answer.response if isinstance(answer, wire.Told) else answer
     match response:
         case Done():
