--- a/quorum/wire.py
+++ b/quorum/wire.py
@@ -1,4 +1,8 @@
-"""Frames between members, and from clients to members: a length, then msgpack; bounded in size and time."""
+"""The wire protocol between members and with clients.
+
+A frame is its body's length as 4 bytes in network order, then the body in msgpack. Frames are bounded in size
+and in the time that they may take to arrive.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +18,19 @@
 
 PROTOCOL_VERSION = 1
 LENGTH_PREFIX = struct.Struct(">I")
-MAX_FRAME_BYTES = 16 * 1024 * 1024  # bytes of a member's frame: a whole snapshot
-MAX_CLIENT_FRAME_BYTES = 128 * 1024  # bytes of a client's frame
-HELLO_TIMEOUT_S, FRAME_TIMEOUT_S = 2.0, 5.0  # s for a first frame, and for a frame once it has begun
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # from a member, whose frame may hold a whole snapshot
+MAX_CLIENT_FRAME_BYTES = 128 * 1024
+HELLO_TIMEOUT_S = 2.0  # for the first frame of a connection to begin
+FRAME_TIMEOUT_S = 5.0  # for a frame to arrive completely once it has begun
 T = TypeVar("T")
 
 
 class WireError(ValueError):
-    """What came is no frame of this protocol."""
+    """The peer sent something that violates the protocol."""
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The first frame of a connection; a member names itself and its life, a client does not."""
+    """The first frame of a connection; a client sends only the version, a member also who it is."""
 
     version: int
     member: str = ""
@@ -34,44 +39,44 @@
 
 
 class Turned(msgspec.Struct, frozen=True, tag="turned"):
-    """The answer to a ``Hello`` that is not listened to, before the end."""
+    """The answer to a member's ``Hello`` that is rejected; then the connection is closed."""
 
     why: str
 
 
 class Ask(msgspec.Struct, frozen=True, tag="ask"):
-    """A client's request; ``number`` joins it to its answer, and counts for this connection alone."""
+    """A client's request; ``number`` joins it to its answer and is unique within the connection."""
 
     number: int
     request: Request
 
 
 class Status(msgspec.Struct, frozen=True, tag="status"):
-    """An operator asks a member for itself."""
+    """An operator's request for a member's status."""
 
     number: int
 
 
 class Leases(msgspec.Struct, frozen=True, tag="leases"):
-    """An operator asks a member for all leases that it knows of."""
+    """An operator's request for all leases that a member knows of."""
 
     number: int
 
 
 class Copy(msgspec.Struct, frozen=True, tag="copy"):
-    """An operator asks a member for a snapshot of what it has applied; it also compacts its log."""
+    """An operator's request for a snapshot of what a member has applied, which also compacts its log."""
 
     number: int
 
 
 class StepDown(msgspec.Struct, frozen=True, tag="step-down"):
-    """An operator wants another leader."""
+    """An operator's request that the leader transfers its leadership."""
 
     number: int
 
 
 class Change(msgspec.Struct, frozen=True, tag="change"):
-    """An operator adds a member or takes one out."""
+    """An operator's request to add or remove one member."""
 
     number: int
     add: str = ""
@@ -89,7 +94,7 @@
 
 
 class Health(msgspec.Struct, frozen=True, tag="health"):
-    """What a member knows of itself, and a leader of the others."""
+    """A member's status; some fields are known only to the leader."""
 
     number: int
     name: str
@@ -99,25 +104,25 @@
     commit: int
     applied: int
     members: tuple[str, ...]
-    lag: dict[str, int]  # entries that a follower is behind; of a leader alone
+    lag: dict[str, int]  # entries that each follower is behind; only at the leader
     leases: int
     sessions: int
     records: int
-    waiting: int  # requests that wait for leases or for changes; of a leader alone
+    waiting: int  # requests that wait for leases or for changes; only at the leader
     log_entries: int
-    log_bytes: int  # of the file
-    disk: str  # what its disk refuses; empty: nothing
-    full: tuple[str, ...]  # members whose disk takes nothing that can wait, as far as is known here
-    turned: dict[str, str]  # members that do not listen to this one, and why
+    log_bytes: int  # size of the log file
+    disk: str  # the error with which the disk refuses writes; empty: none
+    full: tuple[str, ...]  # members whose disk is known here to accept only writes that cannot be deferred
+    turned: dict[str, str]  # members that reject this one's connection, and why
 
     @property
     def ready(self) -> bool:
-        """Whether it takes part: it leads or follows."""
+        """Whether the member leads or knows a leader."""
         return bool(self.leader)
 
 
 class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One lease; ``left_ms`` is known to a leader alone, and without owner it is its delay that runs."""
+    """One lease, in its delay if there is no ``owner``; ``left_ms`` is known only to a leader."""
 
     name: str
     owner: str
@@ -152,15 +157,16 @@
 
 
 def encode_frame(item: msgspec.Struct) -> bytes:
-    """Something as a frame."""
+    """Encode a message as a frame."""
     body = msgspec.msgpack.encode(item)
     return LENGTH_PREFIX.pack(len(body)) + body
 
 
-async def read_frame(reader: asyncio.StreamReader, most: int, first_s: float | None = None) -> bytes:
-    """The next frame's body; empty where the peer ended between two.
+async def read_frame(reader: asyncio.StreamReader, max_bytes: int, first_s: float | None = None) -> bytes:
+    """Return the next frame's body, or nothing if the peer closed the connection between two frames.
 
-    ``WireError`` for one that is too long, cut off or slow, ``TimeoutError`` where none begins in time.
+    Raises ``WireError`` for a frame that is over ``max_bytes``, cut off or slow, and ``TimeoutError`` if none
+    begins within ``first_s`` seconds.
     """
     try:
         async with asyncio.timeout(first_s):
@@ -168,11 +174,11 @@
         try:
             async with asyncio.timeout(FRAME_TIMEOUT_S):
                 size = LENGTH_PREFIX.unpack(first + await reader.readexactly(LENGTH_PREFIX.size - 1))[0]
-                if not 0 < size <= most:
+                if not 0 < size <= max_bytes:
                     raise WireError(f"a frame of {size} bytes")
                 return await reader.readexactly(size)
         except TimeoutError:
-            raise WireError(f"a frame that does not end within {FRAME_TIMEOUT_S:g} s") from None
+            raise WireError(f"a frame did not end within {FRAME_TIMEOUT_S:g} s") from None
     except asyncio.IncompleteReadError as error:
         if error.partial or error.expected != 1:
             raise WireError("a frame was cut off") from None
@@ -180,8 +186,8 @@
 
 
 def decode_body(decoder: msgspec.msgpack.Decoder[T], body: bytes) -> T:
-    """A frame's content; ``WireError`` where it is something else."""
+    """Decode a frame's body; raises ``WireError`` if it is not of the decoder's type."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise WireError(f"a frame that cannot be read: {error}") from None
+        raise WireError(f"a frame cannot be decoded: {error}") from None
