--- a/quorum/config.py
+++ b/quorum/config.py
@@ -1,4 +1,4 @@
-"""A member's configuration: TOML, checked at the start; what cannot be used is one line with file and key."""
+"""A member's configuration: a TOML file, checked at the start. An error is one line with the file and key."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 from tomlconfig import Address, ConfigError, address_of, check_address, read
 
-MAX_MEMBERS, MAX_RESERVE_KB = 9, 1024 * 1024
+MAX_MEMBERS = 9  # current and future ones in the table of addresses
+MAX_RESERVE_KB = 1024 * 1024  # 1 GiB
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Milliseconds on each member's monotonic clock; the same at all members."""
+    """Raft's timeouts in milliseconds on each member's monotonic clock; the same at all members."""
 
     least_election_ms: int = 300
     most_election_ms: int = 600
@@ -20,35 +21,37 @@
 
 
 class Config(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One member of a quorum."""
+    """The configuration of one member of a quorum."""
 
     name: str
-    listen: str  # where members and clients connect, on this machine's loopback or own network
-    folder: str  # the folder that lasts: term, vote, log and snapshot
-    members: dict[str, str]  # every member, and every one that may become one: its address from here
-    voters: list[str] = []  # who takes part at the beginning; empty: all of them
-    operators: str = ""  # where operators read figures by HTTP; empty: nowhere
-    reserve_kb: int = 1024  # of the disk, kept for what may not wait once it is full; 0: none
+    listen: str  # address for members and clients, on this machine's loopback or own network
+    folder: str  # the durable folder with term, vote, log and snapshot
+    members: dict[str, str]  # address, as reached from here, of every current or future member by name
+    voters: list[str] = []  # the initial members; empty: all of ``members``
+    operators: str = ""  # address of the operators' HTTP pages; empty: none
+    reserve_kb: int = (
+        1024  # disk space in KiB kept for writes that cannot be deferred on a full disk; 0: none
+    )
     times: Times = Times()
 
     @property
     def initial_members(self) -> tuple[str, ...]:
-        """Who takes part before any change of membership."""
+        """The members before any change of membership."""
         return tuple(sorted(self.voters or self.members))
 
     @property
     def listen_address(self) -> Address:
-        """Where it listens."""
+        """The address for members and clients."""
         return address_of(self.listen)
 
     @property
     def others(self) -> dict[str, Address]:
-        """The other members."""
+        """The addresses of all other members."""
         return {name: address_of(text) for name, text in self.members.items() if name != self.name}
 
 
 def check(config: Config) -> None:
-    """What types alone do not tell; ``ConfigError`` begins with the key."""
+    """Check what the field types do not express; raises ``ConfigError``, whose text begins with the key."""
     if config.name not in config.members:
         raise ConfigError(f"members: {config.name!r} is not among them")
     if len(config.members) > MAX_MEMBERS:
@@ -71,5 +74,5 @@
 
 
 def load(path: Path) -> Config:
-    """A member's configuration file; ``ConfigError`` names file and key."""
+    """Read a member's configuration file; raises ``ConfigError``, which names the file and key."""
     return read(path, Config, check)
