--- a/quorum/metrics.py
+++ b/quorum/metrics.py
@@ -1,4 +1,4 @@
-"""A member's figures for operators, by prometheus-client: what it counts, and how it is at the moment."""
+"""A member's metrics for operators in Prometheus' format: counters, and gauges of its current status."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class HealthCollector(Collector):
-    """How a member is when it is asked."""
+    """Collects gauges from a member's current status."""
 
     def __init__(self, health: Callable[[], Health]) -> None:
         self._health = health
 
     def collect(self) -> Iterable[Metric]:
-        """One line for each figure."""
+        """Yield a gauge for each value of the status."""
         health = self._health()
-        plain = {
+        gauges = {
             "quorum_leads": ("1 at the leader", health.role == "leader"),
             "quorum_ready": ("1 where a leader is known", health.ready),
             "quorum_term": ("term", health.term),
@@ -37,18 +37,18 @@
             "quorum_disk_refuses": ("1 where the disk refuses or is full", bool(health.disk)),
             "quorum_turned_away": ("members that do not listen to this one", len(health.turned)),
         }
-        for name, (text, value) in plain.items():
-            yield GaugeMetricFamily(name, text, value=float(value))
+        for name, (help_text, value) in gauges.items():
+            yield GaugeMetricFamily(name, help_text, value=float(value))
         lag = GaugeMetricFamily(
             "quorum_follower_lag_entries", "entries a follower is behind", labels=["member"]
         )
-        for member, behind in health.lag.items():
-            lag.add_metric([member], behind)
+        for member, entries in health.lag.items():
+            lag.add_metric([member], entries)
         yield lag
 
 
 class ServerMetrics:
-    """All of a member's."""
+    """All metrics of one member."""
 
     def __init__(self, health: Callable[[], Health]) -> None:
         self._registry = CollectorRegistry()
@@ -70,5 +70,5 @@
         )
 
     def page(self) -> bytes:
-        """In Prometheus' text form."""
+        """Return the metrics in Prometheus' text format."""
         return generate_latest(self._registry)
