--- a/quorum/service_logging.py
+++ b/quorum/service_logging.py
@@ -1,4 +1,4 @@
-"""How the fleet's services log: JSON lines on standard error."""
+"""Logging of the fleet's services: JSON lines on standard error."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class TolerantStream:
-    """A stream for the log; what it cannot take, on a full disk or a closed pipe, is left out and counted."""
+    """A log stream that drops and counts what cannot be written, as on a full disk or a closed pipe."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream, self.dropped_writes = stream, 0
 
     def write(self, text: str) -> int:
-        """One line, or nothing: no service ends for its log."""
+        """Write one line, or drop it: a service must not fail because of its log."""
         try:
             return self._stream.write(text)
         except (OSError, ValueError):
@@ -24,7 +24,7 @@
             return 0
 
     def flush(self) -> None:
-        """Pass on what was written."""
+        """Flush the stream."""
         try:
             self._stream.flush()
         except (OSError, ValueError):
@@ -32,7 +32,7 @@
 
 
 def configure_logging() -> None:
-    """Set it up, for the whole process."""
+    """Configure logging for the whole process."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
