--- a/quorum/monotonic_clock.py
+++ b/quorum/monotonic_clock.py
@@ -1,4 +1,4 @@
-"""The clock that the service's shells read; its cores get times as arguments."""
+"""The clock of the network services; the cores without I/O get times as arguments."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_us() -> int:
-    """Microseconds on the monotonic clock."""
+    """Return the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
