--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m quorum CONFIG`` runs a member; ``... COMMAND CONFIG`` is for operators."""
+"""``python -m quorum CONFIG`` runs a member; ``python -m quorum COMMAND CONFIG`` is for operators."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 
 async def serve(path: Path) -> None:
-    """Run a member until SIGTERM or SIGINT; SIGHUP reads the members' addresses again."""
-    over = stop_event()
+    """Run a member until SIGTERM or SIGINT; SIGHUP reloads the members' addresses."""
+    stop = stop_event()
     server = Server(load(path))
 
     def reload() -> None:
@@ -42,24 +42,24 @@
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
     await server.start()
-    await over.wait()
+    await stop.wait()
     await server.stop()
 
 
 def member_addresses(path: Path) -> dict[str, Address]:
-    """The members of a configuration file."""
+    """Return the members' addresses from a configuration file."""
     return {name: address_of(text) for name, text in load(path).members.items()}
 
 
 @app.command()
 def run(config: Annotated[Path, typer.Argument(help="The member's TOML file.")]) -> None:
-    """A member of a quorum that keeps leases."""
+    """Run a member of a quorum that keeps leases."""
     configure_logging()
     asyncio.run(serve(config))
 
 
 def format_health(health: wire.Health) -> str:
-    """A member in one line."""
+    """Describe a member's status in one line."""
     behind = ", ".join(f"{other} {lag}" for other, lag in sorted(health.lag.items()))
     turned = "; ".join(f"{other} does not listen: {why}" for other, why in sorted(health.turned.items()))
     return (
@@ -73,8 +73,8 @@
 
 
 async def print_status(members: dict[str, Address], as_json: bool) -> bool:
-    """A line for each member; whether one leads among those that answer."""
-    leads = False
+    """Print a line for each member; returns whether one of those that answer leads."""
+    has_leader = False
     for name, address in sorted(members.items()):
         try:
             health = await member_status(address)
@@ -85,20 +85,20 @@
                 else f"{name}: {error}"
             )
             continue
-        leads |= health.role == "leader"
+        has_leader |= health.role == "leader"
         print(msgspec.json.encode(health).decode() if as_json else format_health(health))
-    return leads
+    return has_leader
 
 
 @app.command(name="status")
 def status_of_all(config: ConfigFile, as_json: Json = False) -> None:
-    """A line for each member; 1 where none of them leads."""
+    """Print a line for each member; the exit code is 1 if none of them leads."""
     raise typer.Exit(0 if asyncio.run(print_status(member_addresses(config), as_json)) else 1)
 
 
 @app.command()
 def leases(config: ConfigFile, as_json: Json = False) -> None:
-    """All leases as the leader knows them: holder, token, time left, who waits."""
+    """Print all leases as the leader knows them: holder, token, time left, number of waiting requests."""
 
     async def ask() -> wire.ServerMessage:
         return await ask_member(await find_leader(member_addresses(config)), wire.Leases(1))
@@ -116,25 +116,25 @@
 
 @app.command(name="step-down")
 def step_down(config: ConfigFile) -> None:
-    """Let another member lead."""
+    """Transfer leadership to another member."""
     asyncio.run(order_leader(member_addresses(config), wire.StepDown(1)))
 
 
 @app.command()
 def add(config: ConfigFile, name: str) -> None:
-    """Add a member, whose address all members' files have."""
+    """Add a member, whose address has to be in all members' files already."""
     asyncio.run(order_leader(member_addresses(config), wire.Change(1, add=name)))
 
 
 @app.command()
 def remove(config: ConfigFile, name: str) -> None:
-    """Take a member out."""
+    """Remove a member."""
     asyncio.run(order_leader(member_addresses(config), wire.Change(1, remove=name)))
 
 
 @app.command()
 def snapshot(config: ConfigFile, file: Annotated[Path, typer.Argument(help="Where the copy goes.")]) -> None:
-    """Keep a copy of what the leader has applied."""
+    """Write a copy of the state that the leader has applied to a file."""
 
     async def ask() -> wire.ServerMessage:
         return await ask_member(await find_leader(member_addresses(config)), wire.Copy(1), 10.0)
@@ -149,9 +149,9 @@
 
 @app.command(name="restore")
 def restore_folder(config: ConfigFile, file: Annotated[Path, typer.Argument(help="A copy.")]) -> None:
-    """Make the folder of this file's member from a copy: all members of a new quorum from the same one.
+    """Create a member's folder from a copy; all members of a new quorum need the same copy.
 
-    Before they start, the longest lease time in use has to have passed since the last old member ended.
+    Before they start, the longest lease time in use has to have passed since the last old member stopped.
     """
     loaded = load(config)
     try:
@@ -164,7 +164,7 @@
 
 
 def main() -> int:
-    """Run; 2 and one line where something cannot be used, 1 where a quorum does not do what was asked."""
+    """Run the command line; returns 2 for unusable input and 1 if a quorum does not do what was asked."""
     return run_command_line(app, "quorum", (ConfigError, StoreError, OSError))
 
 
