--- a/quorum/__init__.py
+++ b/quorum/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for tasks that one process of a fleet may do at a time, kept by members that agree."""
+"""A replicated lease service: only one process of a fleet holds a lease, and performs its task, at a time."""
