--- a/quorum/config.py
+++ b/quorum/config.py
@@ -29,9 +29,7 @@
     members: dict[str, str]  # address, as reached from here, of every current or future member by name
     voters: list[str] = []  # the initial members; empty: all of ``members``
     operators: str = ""  # address of the operators' HTTP pages; empty: none
-    reserve_kb: int = (
-        1024  # disk space in KiB kept for writes that cannot be deferred on a full disk; 0: none
-    )
+    reserve_kb: int = 1024  # disk space in KiB for writes that cannot be deferred on a full disk; 0: none
     times: Times = Times()
 
     @property
--- a/quorum/raft.py
+++ b/quorum/raft.py
@@ -76,9 +76,8 @@
     last_heard_us: int = 0
     snapshot_retry_us: int = 0  # a snapshot is in flight; it is not sent again before this time
     disk_full: bool = False  # its disk accepts only writes that cannot be deferred
-    probing: bool = (
-        False  # the leader is looking for the last matching entry, and sends no entries until then
-    )
+    # The leader is looking for the last matching entry and sends no entries until it is found.
+    probing: bool = False
     probe_round: int = 0  # rejections of messages from earlier rounds are stale and ignored
 
 
