--- a/tests/quorum/planted_bugs.py
+++ b/tests/quorum/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Planted bugs: each is one wrong step of a class, and has to be found by a rule of the simulator."""
+"""Planted bugs: each makes one step of a class wrong and has to be found by a rule of the simulator."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class VoteNotSynced(Raft):
-    """A vote is told before it is on the disk."""
+    """Sends votes and vote requests before they are durable."""
 
     def _send_after_sync(self, to: str, message: Message) -> None:
         if isinstance(message, VoteResponse | RequestVote):
@@ -49,7 +49,7 @@
 
 
 class AppendNotSynced(Raft):
-    """Entries are acknowledged before they are on the disk."""
+    """Acknowledges entries before they are durable."""
 
     def _send_after_sync(self, to: str, message: Message) -> None:
         if isinstance(message, AppendResponse):
@@ -59,38 +59,38 @@
 
 
 class VoteForgotten(Raft):
-    """The term is kept, the vote is not."""
+    """Stores the term without the vote."""
 
     def _persist_hard_state(self) -> None:
         self._persist(hard=HardState(self.term, ""))
 
 
 class OlderTermCommitted(Raft):
-    """A majority is taken for enough whatever the entry's term."""
+    """Commits an entry of an older term by counting its copies."""
 
     def _may_commit(self, index: int) -> bool:
         return True
 
 
 class VoteForAnyLog(Raft):
-    """Votes without a look at the asker's log."""
+    """Votes without comparing the candidate's log."""
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
         return True
 
 
 class OwnCopyNotSynced(Raft):
-    """A leader counts its own copy at once."""
+    """Counts the leader's own copy before it is durable."""
 
-    def _after_sync(self, done: Callable[[], None]) -> None:
+    def _after_sync(self, callback: Callable[[], None]) -> None:
         if self.leader_state is not None:
-            done()
+            callback()
         else:
-            super()._after_sync(done)
+            super()._after_sync(callback)
 
 
 class ReplacesAll(Raft):
-    """An old message takes away entries that it does not speak of."""
+    """Truncates entries behind those of an old message, though they do not conflict with it."""
 
     def _store_entries(self, previous: int, entries: tuple[Entry, ...]) -> None:
         if previous + 1 <= self.log.last_index:
@@ -101,14 +101,14 @@
 
 
 class NoPreVote(Raft):
-    """Stands for election without asking whether it would be voted for."""
+    """Starts elections without a pre-vote."""
 
     def _start_election(self, pre: bool, transfer: bool = False) -> None:
         super()._start_election(False, transfer)
 
 
 class StaleRead(Raft):
-    """A leader answers reads without asking whether it still is one."""
+    """Answers reads without confirming that this member still leads."""
 
     def _confirm_reads(self, leader_state: LeaderState) -> None:
         if self.commit < leader_state.first_index:
@@ -119,7 +119,7 @@
 
 
 class ReadsTooSoon(Raft):
-    """A new leader answers reads before it knows what was committed."""
+    """Answers reads as a new leader before the first entry of its term is committed."""
 
     def _confirm_reads(self, leader_state: LeaderState) -> None:
         leader_state.first_index, first = 0, leader_state.first_index
@@ -128,14 +128,14 @@
 
 
 class MembersAtOnce(Raft):
-    """Changes of membership may overlap."""
+    """Allows overlapping membership changes."""
 
     def _is_valid_change(self, leader_state: LeaderState, members: tuple[str, ...]) -> bool:
         return len(members) > 0
 
 
 class SnapshotWithoutSessions(StateMachine):
-    """Sessions are left out of the snapshot."""
+    """Loses the sessions when it restores a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -143,7 +143,7 @@
 
 
 class TokenAgain(StateMachine):
-    """The next token is one more than what is in force, not than what was ever given."""
+    """Issues one more than the largest token in force, not than the last one ever issued."""
 
     def _next_token(self) -> int:
         self.state.token = 1 + max((lease.token for lease in self.state.leases.values()), default=0)
@@ -151,7 +151,7 @@
 
 
 class RepeatsCount(StateMachine):
-    """A request that is repeated is done again."""
+    """Applies a repeated request again."""
 
     def _apply_once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
         session = self.state.sessions.get(command.session)
@@ -161,7 +161,7 @@
 
 
 class ExpiresRenewed(StateMachine):
-    """The end of a lease's time counts also where it was renewed meanwhile."""
+    """Expires a lease although it was renewed after the expiry was proposed."""
 
     def _apply_session_command(
         self, session: Session, command: Close | Acquire | Renew | Release | Put
@@ -173,14 +173,14 @@
 
 
 class NewLeaderShortens(LeaseTimers):
-    """A new leader takes every lease's time for over."""
+    """Treats every lease's time as over when it becomes leader."""
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         super().begin(now_us, {name: replace(lease, ttl_ms=0) for name, lease in leases.items()})
 
 
 class ClocksGoOn(LeaseTimers):
-    """A leader goes on with the clocks that it kept from the last time it led."""
+    """Continues the timers of the last time this member led."""
 
     _kept: Mapping[str, LeaseTimer] = {}
 
@@ -199,14 +199,14 @@
 
 
 class OldCopyHeard(IncarnationRegistry):
-    """Whoever comes under a member's name is listened to."""
+    """Accepts every incarnation that has a member's name."""
 
     def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
         return ""
 
 
 class GrowsWhenFull(Raft):
-    """A leader takes on what can wait though no majority has room for it."""
+    """Accepts commands that enlarge the state although the disks of a majority are full."""
 
     @property
     def majority_has_room(self) -> bool:
@@ -214,7 +214,7 @@
 
 
 class RefusalsAnswered(Raft):
-    """Each refusal is answered with entries."""
+    """Answers each rejection of an append with entries at once."""
 
     def _handle_append_response(self, sender: str, message: AppendResponse) -> None:
         super()._handle_append_response(sender, message)
@@ -225,30 +225,34 @@
 
 
 class EndsOneByOne(Raft):
-    """Each entry is written and sent by itself."""
+    """Writes and sends each entry by itself."""
 
-    def propose_all(self, now_us: int, some: list[tuple[int, bytes]], kind: int = COMMAND) -> list[Action]:
+    def propose_all(
+        self, now_us: int, proposals: list[tuple[int, bytes]], kind: int = COMMAND
+    ) -> list[Action]:
         return [
-            action for item in some for action in super(EndsOneByOne, self).propose_all(now_us, [item], kind)
+            action
+            for proposal in proposals
+            for action in super(EndsOneByOne, self).propose_all(now_us, [proposal], kind)
         ]
 
 
 class CountedFromAnswer(HeldLease):
-    """A lease counts from when its answer came."""
+    """Counts a lease from the arrival of its answer."""
 
     def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
         return super()._lease_end_us(heard_us, heard_us)
 
 
 class DriftOnce(HeldLease):
-    """Only one of the two clocks is thought to drift."""
+    """Allows for the drift of only one of the two clocks."""
 
     def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
         return sent_us + int(self._ttl_us * (1 - self._bounds.max_drift))
 
 
 class LateRenewal(HeldLease):
-    """A renewal that comes when the lease is over brings it back."""
+    """Resumes an ended lease when a late renewal arrives."""
 
     def _is_late(self, now_us: int) -> bool:
         self._ended = False
@@ -256,14 +260,14 @@
 
 
 class CountedFromRepeat(RequestTiming):
-    """A lease counts from the last repeat of its request."""
+    """Counts a lease from the last repeat of its request."""
 
     def record_sent(self, now_us: int) -> None:
         self._first_sent_us = now_us
 
 
 class NoFence(Fence):
-    """The resource lets everybody in."""
+    """Admits every token at the resource."""
 
     def admits(self, token: int) -> bool:
         return True
@@ -271,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bug:
-    """Where a bug is planted, and by which rules it may show."""
+    """The class in which a bug is planted, and the rules that it can break."""
 
     parts: Parts
     rules: tuple[str, ...]
