--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -1,4 +1,4 @@
-"""What the core must and must not do, step by step on a few members, with and without a planted bug."""
+"""The core's behaviour step by step on a few members, with and without planted bugs."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 TIMING = Timing(min_election_us=100, max_election_us=200, heartbeat_us=20)
 
 
-class Bench:
-    """Members whose messages, disks and time are moved by hand."""
+class Cluster:
+    """Members whose messages, disks and time the test controls."""
 
     def __init__(self, count: int, parts: Parts) -> None:
         self.parts, self.now_us = parts, 1_000
         self.names = tuple(f"m{number}" for number in range(count))
         self.disks: dict[str, list[Persist]] = {name: [] for name in self.names}
-        self.cut: set[str] = set()  # members that nobody reaches
-        self.mail: list[tuple[str, str, Message]] = []
+        self.unreachable: set[str] = set()  # members that are cut off from all others
+        self.in_flight: list[tuple[str, str, Message]] = []
         self.replies: dict[int, Response] = {}
         self.members: dict[str, Member] = {}
         self._tag = 0
@@ -45,7 +45,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """A new life from the disk."""
+        """Start a member from its disk, again if it was running."""
         folded = LogReplay()
         for item in self.disks[name]:
             folded.add(item)
@@ -54,129 +54,131 @@
             raft=self.parts.raft, state=self.parts.machine,
         )  # fmt: skip
 
-    def did(self, name: str, out: list[Output]) -> None:
-        """Writes are durable at once, messages wait to be passed on."""
+    def carry_out(self, name: str, out: list[Output]) -> None:
+        """Carry out a step's outputs: writes are durable at once, messages wait for ``deliver``."""
         for item in out:
             if isinstance(item, Persist):
                 self.disks[name].append(item)
         for item in out:
             if isinstance(item, Send):
-                self.mail.append((name, item.to, item.message))
+                self.in_flight.append((name, item.to, item.message))
             elif isinstance(item, Reply):
                 self.replies[item.tag] = item.response
         if writes := [item.number for item in out if isinstance(item, Persist)]:
-            self.did(name, self.members[name].synced(self.now_us, writes[-1]))
+            self.carry_out(name, self.members[name].synced(self.now_us, writes[-1]))
 
-    def settle(self, only: Callable[[str, str, Message], bool] = lambda *_: True) -> None:
-        """Pass messages on until there are none; what may not pass is lost."""
-        while self.mail:
-            sender, to, message = self.mail.pop(0)
-            if not {sender, to} & self.cut and only(sender, to, message):
-                self.did(to, self.members[to].receive(self.now_us, sender, message))
+    def deliver(self, only: Callable[[str, str, Message], bool] = lambda *_: True) -> None:
+        """Deliver messages until none is left; those that ``only`` or unreachable members stop are lost."""
+        while self.in_flight:
+            sender, to, message = self.in_flight.pop(0)
+            if not {sender, to} & self.unreachable and only(sender, to, message):
+                self.carry_out(to, self.members[to].receive(self.now_us, sender, message))
 
     def wake(self, *names: str, after_us: int = 0) -> None:
-        """Time passes for some."""
+        """Advance the time and wake some members."""
         self.now_us += after_us
         for name in names:
-            self.did(name, self.members[name].wake(self.now_us))
+            self.carry_out(name, self.members[name].wake(self.now_us))
 
     def elect(self, name: str) -> None:
-        """Let a member stand, long after any leader was heard."""
+        """Make a member the leader, after every election timeout has passed."""
         self.now_us += 1_000
-        self.did(name, self.members[name].wake(self.now_us))
-        self.settle()
+        self.carry_out(name, self.members[name].wake(self.now_us))
+        self.deliver()
         assert self.members[name].raft.role is Role.LEADER
 
     def ask(self, name: str, request: Request) -> int:
-        """A request; its answer stands in ``replies`` once it comes."""
+        """Send a request and return its tag, under which ``replies`` has the answer once it comes."""
         self._tag += 1
-        self.did(name, self.members[name].request(self.now_us, self._tag, request))
+        self.carry_out(name, self.members[name].request(self.now_us, self._tag, request))
         return self._tag
 
-    def done(self, name: str, request: Request) -> Response:
-        """A request and its answer, with all messages passed on."""
+    def answer_to(self, name: str, request: Request) -> Response:
+        """Send a request, deliver all messages, and return the answer."""
         tag = self.ask(name, request)
-        self.settle()
+        self.deliver()
         return self.replies[tag]
 
-    def session(self, name: str) -> int:
-        """A session that is open."""
-        answer = self.done(name, Open("test"))
+    def open_session(self, name: str) -> int:
+        """Open a session and return its number."""
+        answer = self.answer_to(name, Open("test"))
         assert isinstance(answer, Done)
         return answer.session
 
 
 def keeps_its_vote(parts: Parts) -> bool:
-    """A member that voted, and came back, gives no second vote in that term."""
-    bench = Bench(3, parts)
+    """A member that voted and was restarted gives no second vote in that term."""
+    cluster = Cluster(3, parts)
     ask = RequestVote(5, 0, 0)
-    bench.did("m0", bench.members["m0"].receive(bench.now_us, "m1", ask))
-    bench.start("m0")
-    bench.mail.clear()
-    bench.did("m0", bench.members["m0"].receive(bench.now_us, "m2", ask))
-    votes = [message for _, _, message in bench.mail if isinstance(message, VoteResponse)]
+    cluster.carry_out("m0", cluster.members["m0"].receive(cluster.now_us, "m1", ask))
+    cluster.start("m0")
+    cluster.in_flight.clear()
+    cluster.carry_out("m0", cluster.members["m0"].receive(cluster.now_us, "m2", ask))
+    votes = [message for _, _, message in cluster.in_flight if isinstance(message, VoteResponse)]
     return [vote.granted for vote in votes] == [False]
 
 
 def reads_nothing_stale(parts: Parts) -> bool:
-    """A leader that was replaced without knowing it answers no read."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    session = bench.session("m0")
-    bench.cut = {"m0"}
-    bench.now_us += 150  # the others have missed the leader, which still counts on them
-    bench.wake("m1")
-    bench.settle()
-    assert bench.members["m1"].raft.role is Role.LEADER
-    assert isinstance(bench.done("m1", Put(session, 1, "a", 0, b"new")), Done)
-    assert bench.members["m0"].raft.role is Role.LEADER
-    tag = bench.ask("m0", Read(key="a"))
-    bench.settle()
-    return tag not in bench.replies or not isinstance(bench.replies[tag], Told)
+    """A leader that was replaced without noticing it answers no read."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
+    cluster.unreachable = {"m0"}
+    cluster.now_us += 150  # the others have timed out, while the old leader has not noticed yet
+    cluster.wake("m1")
+    cluster.deliver()
+    assert cluster.members["m1"].raft.role is Role.LEADER
+    assert isinstance(cluster.answer_to("m1", Put(session, 1, "a", 0, b"new")), Done)
+    assert cluster.members["m0"].raft.role is Role.LEADER
+    tag = cluster.ask("m0", Read(key="a"))
+    cluster.deliver()
+    return tag not in cluster.replies or not isinstance(cluster.replies[tag], Told)
 
 
 def end_spares_a_renewal(parts: Parts) -> bool:
-    """A lease's end that was proposed before its renewal was applied does not count."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    session = bench.session("m0")
-    granted = bench.done("m0", Acquire(session, 1, "l", 100))
+    """An expiry that was proposed before a renewal was applied does not end the lease."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
+    granted = cluster.answer_to("m0", Acquire(session, 1, "l", 100))
     assert isinstance(granted, Done)
-    renew = bench.ask("m0", Renew(session, 2, "l", granted.token))
+    renew = cluster.ask("m0", Renew(session, 2, "l", granted.token))
     end = msgspec.msgpack.encode(Expire("l", granted.token, 0))
-    member = bench.members["m0"]
-    member._process_actions(member.raft.propose(bench.now_us, -9, end))
-    bench.did("m0", member._take_outputs())
-    bench.settle()
-    assert bench.replies[renew] == Done(token=granted.token)
-    return "l" in bench.members["m0"].machine.state.leases
+    member = cluster.members["m0"]
+    member._process_actions(member.raft.propose(cluster.now_us, -9, end))
+    cluster.carry_out("m0", member._take_outputs())
+    cluster.deliver()
+    assert cluster.replies[renew] == Done(token=granted.token)
+    return "l" in cluster.members["m0"].machine.state.leases
 
 
 def commits_by_its_own_term(parts: Parts) -> bool:
     """Figure 8 of the paper: an older term's entry on a majority is not committed by counting."""
-    bench = Bench(5, parts)
-    bench.elect("m0")
-    bench.cut = {"m2", "m3", "m4"}
-    bench.ask("m0", Open("first"))  # comes to m1 alone
-    bench.settle()
-    bench.cut = {"m0", "m1"}
-    bench.now_us += 1_000
-    bench.wake("m4")
-    bench.settle(
+    cluster = Cluster(5, parts)
+    cluster.elect("m0")
+    cluster.unreachable = {"m2", "m3", "m4"}
+    cluster.ask("m0", Open("first"))  # reaches only m1
+    cluster.deliver()
+    cluster.unreachable = {"m0", "m1"}
+    cluster.now_us += 1_000
+    cluster.wake("m4")
+    cluster.deliver(
         lambda sender, to, message: not isinstance(message, AppendEntries)
-    )  # its entry reaches nobody
-    assert bench.members["m4"].raft.role is Role.LEADER
-    bench.cut = {"m3", "m4"}
+    )  # no other member gets its entry
+    assert cluster.members["m4"].raft.role is Role.LEADER
+    cluster.unreachable = {"m3", "m4"}
     for name in ("m0", "m1"):
-        bench.start(name)
-    bench.now_us += 1_000
-    bench.wake("m0")
-    # It leads again, and brings its old entry to a third member; its own term's entry comes to nobody.
-    term = bench.members["m0"].raft.term
-    bench.settle(lambda sender, to, message: not isinstance(message, AppendEntries) or message.term <= term)
-    member = bench.members["m0"]
+        cluster.start(name)
+    cluster.now_us += 1_000
+    cluster.wake("m0")
+    # It leads again and replicates its old entry to a third member; no member gets the entry of its new term.
+    term = cluster.members["m0"].raft.term
+    cluster.deliver(
+        lambda sender, to, message: not isinstance(message, AppendEntries) or message.term <= term
+    )
+    member = cluster.members["m0"]
     if member.raft.role is not Role.LEADER:  # a later term than m4's is needed
-        bench.elect("m0")
+        cluster.elect("m0")
     old = [
         index for index in range(1, member.raft.log.last_index + 1)
         if member.raft.log.entry_at(index).term < member.raft.term
@@ -185,103 +187,105 @@
 
 
 def one_change_at_a_time(parts: Parts) -> bool:
-    """A second change of membership is dropped while the first is not committed, and before a first entry."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    bench.cut = {"m1", "m2"}
+    """A second membership change is dropped while the first, or the term's first entry, is uncommitted."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    cluster.unreachable = {"m1", "m2"}
     for tag, members in ((91, ("m0", "m1")), (92, ("m0", "m1", "m2"))):
-        bench.did("m0", bench.members["m0"].change_members(bench.now_us, tag, members))
-    return bench.replies.get(91) is None and bench.replies.get(92) == Elsewhere("m0")
+        cluster.carry_out("m0", cluster.members["m0"].change_members(cluster.now_us, tag, members))
+    return cluster.replies.get(91) is None and cluster.replies.get(92) == Elsewhere("m0")
 
 
 def a_lone_member_deposes_nobody(parts: Parts) -> bool:
-    """Pre-vote: a member that was cut off comes back without a new term, and the leader stays."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    term = bench.members["m0"].raft.term
+    """Pre-vote: a member that was cut off returns without a new term, and the leader stays."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    term = cluster.members["m0"].raft.term
     for cut in ({"m2"}, set[str]()):
-        bench.cut = cut
+        cluster.unreachable = cut
         for _ in range(100):
-            bench.wake("m0", "m1", "m2", after_us=20)
-            bench.settle()
-    return all((member.raft.term, member.raft.leader) == (term, "m0") for member in bench.members.values())
+            cluster.wake("m0", "m1", "m2", after_us=20)
+            cluster.deliver()
+    return all((member.raft.term, member.raft.leader) == (term, "m0") for member in cluster.members.values())
 
 
-def said(member: Member, now_us: int, message: Message) -> list[Message]:
-    """What a member says to a message while none of its writes is durable."""
+def messages_before_sync(member: Member, now_us: int, message: Message) -> list[Message]:
+    """Return the messages that a member sends in answer while none of its writes is durable."""
     return [item.message for item in member.receive(now_us, "m0", message) if isinstance(item, Send)]
 
 
 def votes_once_durable(parts: Parts) -> bool:
-    """No vote leaves a member while its write is under way."""
-    bench = Bench(3, parts)
-    return said(bench.members["m1"], bench.now_us, RequestVote(3, 0, 0)) == []
+    """No vote is sent before it is durable."""
+    cluster = Cluster(3, parts)
+    return messages_before_sync(cluster.members["m1"], cluster.now_us, RequestVote(3, 0, 0)) == []
 
 
 def acknowledges_once_durable(parts: Parts) -> bool:
-    """No acknowledgement either."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    term = bench.members["m0"].raft.term
-    last = bench.members["m1"].raft.log.last_index
+    """No acknowledgement is sent before the entries are durable."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    term = cluster.members["m0"].raft.term
+    last = cluster.members["m1"].raft.log.last_index
     append = AppendEntries(term, last, term, (Entry(term, NOOP),), 0, 9)
-    return said(bench.members["m1"], bench.now_us, append) == []
+    return messages_before_sync(cluster.members["m1"], cluster.now_us, append) == []
 
 
 def counts_its_own_copy_once_durable(parts: Parts) -> bool:
-    """With one follower's copy durable and its own not, a leader of three commits nothing."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    member, before = bench.members["m0"], bench.members["m0"].applied
-    sent = [item for item in member.request(bench.now_us, 77, Open("x")) if isinstance(item, Send)]
+    """A leader of three commits nothing while one follower's copy is durable and its own is not."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    member, before = cluster.members["m0"], cluster.members["m0"].applied
+    sent = [item for item in member.request(cluster.now_us, 77, Open("x")) if isinstance(item, Send)]
     for item in sent:
         if item.to == "m1":
-            bench.did("m1", bench.members["m1"].receive(bench.now_us, "m0", item.message))
-    for _, _, message in bench.mail:
-        member.receive(bench.now_us, "m1", message)
+            cluster.carry_out("m1", cluster.members["m1"].receive(cluster.now_us, "m0", item.message))
+    for _, _, message in cluster.in_flight:
+        member.receive(cluster.now_us, "m1", message)
     return member.applied == before
 
 
 def old_copies_are_not_heard(parts: Parts) -> bool:
-    """By what they promised, by their start, by a twin; a restart of the same folder is heard."""
-    lives = parts.lives("m0", {})
+    """Missing promises, earlier starts, twins and other folders are rejected; a restart is not."""
+    incarnations = parts.lives("m0", {})
     first, second = Incarnation("f", 1, "a"), Incarnation("f", 2, "b")
-    lives.accept("m1", first)
-    lives.record_message("m1", VoteResponse(5, True))
-    lives.record_message("m1", AppendResponse(5, True, 9, 1))
-    heard = [StartupClaim(5, "m0", 9), StartupClaim(5, "m0", 12), StartupClaim(6, "", 3)]
-    assert all(not parts.lives("m0", {}).rejection_reason("m1", second, claim) for claim in heard)
-    assert all(not lives.rejection_reason("m1", second, claim) for claim in heard)
-    refused = []
+    incarnations.accept("m1", first)
+    incarnations.record_message("m1", VoteResponse(5, True))
+    incarnations.record_message("m1", AppendResponse(5, True, 9, 1))
+    accepted_claims = [StartupClaim(5, "m0", 9), StartupClaim(5, "m0", 12), StartupClaim(6, "", 3)]
+    assert all(not parts.lives("m0", {}).rejection_reason("m1", second, claim) for claim in accepted_claims)
+    assert all(not incarnations.rejection_reason("m1", second, claim) for claim in accepted_claims)
+    reasons = []
     for claim in (StartupClaim(4, "", 9), StartupClaim(5, "m2", 9), StartupClaim(5, "m0", 8)):
-        lives = parts.lives("m0", {"m1": first})
-        lives.record_message("m1", VoteResponse(5, True))
-        lives.record_message("m1", AppendResponse(5, True, 9, 1))
-        refused.append(lives.rejection_reason("m1", second, claim))
-        refused.append(
-            lives.rejection_reason("m1", Incarnation("f", 3, "c"), heard[0])
-        )  # it is shunned from then on
-    known = parts.lives("m0", {"m1": second})
-    some = (first, Incarnation("f", 2, "twin"), Incarnation("other", 1, "x"))
-    refused += [known.rejection_reason("m1", life, heard[0]) for life in some]
-    return all(refused)
+        incarnations = parts.lives("m0", {"m1": first})
+        incarnations.record_message("m1", VoteResponse(5, True))
+        incarnations.record_message("m1", AppendResponse(5, True, 9, 1))
+        reasons.append(incarnations.rejection_reason("m1", second, claim))
+        reasons.append(
+            incarnations.rejection_reason("m1", Incarnation("f", 3, "c"), accepted_claims[0])
+        )  # shunned from now on
+    registry = parts.lives("m0", {"m1": second})
+    rejected = (first, Incarnation("f", 2, "twin"), Incarnation("other", 1, "x"))
+    reasons += [registry.rejection_reason("m1", life, accepted_claims[0]) for life in rejected]
+    return all(reasons)
 
 
 def refusals_cost_one_question(parts: Parts) -> bool:
-    """A follower refuses all that was on its way: the leader asks it once, and sends entries once."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    session = bench.session("m0")
-    bench.cut = {"m2"}
+    """A follower rejects many messages in flight: the leader probes it once and sends the entries once."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
+    cluster.unreachable = {"m2"}
     for number in range(50):
-        bench.done("m0", Put(session, number + 1, "a", number, bytes(1_000)) if not number else Open("x"))
+        cluster.answer_to(
+            "m0", Put(session, number + 1, "a", number, bytes(1_000)) if not number else Open("x")
+        )
     late: list[tuple[str, str, Message]] = []
-    bench.cut = set()
-    for _ in range(20):  # these come all at once, and none of them fits
-        bench.ask("m0", Open("y"))
-        late += [item for item in bench.mail if item[1] == "m2"]
-        bench.mail = [item for item in bench.mail if item[1] != "m2"]
-        bench.settle(lambda _, to, __: to != "m2")
+    cluster.unreachable = set()
+    for _ in range(20):  # these arrive together later, and none matches the follower's log
+        cluster.ask("m0", Open("y"))
+        late += [item for item in cluster.in_flight if item[1] == "m2"]
+        cluster.in_flight = [item for item in cluster.in_flight if item[1] != "m2"]
+        cluster.deliver(lambda _, to, __: to != "m2")
     entries = 0
 
     def count(_: str, to: str, message: Message) -> bool:
@@ -289,33 +293,33 @@
         entries += len(message.entries) if to == "m2" and isinstance(message, AppendEntries) else 0
         return True
 
-    bench.mail = late
+    cluster.in_flight = late
     for _ in range(3):
-        bench.settle(count)
-        bench.wake("m0", after_us=20)
-    bench.settle(count)
-    behind = bench.members["m0"].raft.log.last_index - bench.members["m2"].raft.log.last_index
+        cluster.deliver(count)
+        cluster.wake("m0", after_us=20)
+    cluster.deliver(count)
+    behind = cluster.members["m0"].raft.log.last_index - cluster.members["m2"].raft.log.last_index
     return behind == 0 and entries < 200
 
 
 def many_ends_are_one_write(parts: Parts) -> bool:
-    """A thousand leases that run out together: one entry each, one write, one message to each follower."""
-    bench = Bench(3, parts)
-    bench.elect("m0")
-    session = bench.session("m0")
+    """A thousand leases that expire together take one entry each, but only one write."""
+    cluster = Cluster(3, parts)
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
     for number in range(1000):
-        bench.ask("m0", Acquire(session, number + 1, f"l{number}", 100))
-    bench.settle()
-    bench.now_us += 100_000
-    leader_state = bench.members["m0"].raft.leader_state
+        cluster.ask("m0", Acquire(session, number + 1, f"l{number}", 100))
+    cluster.deliver()
+    cluster.now_us += 100_000
+    leader_state = cluster.members["m0"].raft.leader_state
     assert leader_state is not None
     for follower in leader_state.followers.values():
-        follower.last_heard_us = bench.now_us
-    out = bench.members["m0"].wake(bench.now_us)
+        follower.last_heard_us = cluster.now_us
+    out = cluster.members["m0"].wake(cluster.now_us)
     writes = [item for item in out if isinstance(item, Persist) and item.entries]
-    bench.did("m0", out)
-    bench.settle()
-    return len(writes) == 1 and not bench.members["m0"].machine.state.leases
+    cluster.carry_out("m0", out)
+    cluster.deliver()
+    return len(writes) == 1 and not cluster.members["m0"].machine.state.leases
 
 
 DIRECTED: dict[str, Callable[[Parts], bool]] = {
@@ -336,35 +340,35 @@
 
 @pytest.mark.parametrize("name", DIRECTED)
 def test_the_core_does_as_published(name: str) -> None:
-    """And with the bug it does not."""
+    """Each check passes without a bug, and fails with the planted one."""
     assert DIRECTED[name](Parts())
     assert not DIRECTED[name](BUGS[name].parts)
 
 
 def test_a_leader_that_nobody_answers_steps_down() -> None:
-    """Check-quorum: what it was asked has no known end, and what comes then is sent elsewhere."""
-    bench = Bench(3, Parts())
-    bench.elect("m0")
-    bench.cut = {"m1", "m2"}
-    tag = bench.ask("m0", Open("x"))
+    """Check-quorum: pending requests are answered ``Unknown``, and later ones ``Elsewhere``."""
+    cluster = Cluster(3, Parts())
+    cluster.elect("m0")
+    cluster.unreachable = {"m1", "m2"}
+    tag = cluster.ask("m0", Open("x"))
     for _ in range(20):
-        bench.wake("m0", after_us=20)
-    assert bench.members["m0"].raft.role is Role.FOLLOWER
-    assert bench.replies[tag] == Unknown()
-    assert bench.done("m0", Open("x")) == Elsewhere("")
+        cluster.wake("m0", after_us=20)
+    assert cluster.members["m0"].raft.role is Role.FOLLOWER
+    assert cluster.replies[tag] == Unknown()
+    assert cluster.answer_to("m0", Open("x")) == Elsewhere("")
 
 
 def test_a_repeat_counts_once() -> None:
-    """The same session and number brings the same answer; an older number none, another session its own."""
-    bench = Bench(3, Parts())
-    bench.elect("m0")
-    session = bench.session("m0")
-    first = bench.done("m0", Acquire(session, 1, "l", 1_000))
-    assert bench.done("m0", Acquire(session, 1, "l", 1_000)) == first
-    assert bench.members["m0"].machine.state.token == 1
-    late = bench.done("m0", Renew(session, 0, "l", 1))
+    """A repeat gets the same answer; an older number and an unknown session are refused."""
+    cluster = Cluster(3, Parts())
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
+    first = cluster.answer_to("m0", Acquire(session, 1, "l", 1_000))
+    assert cluster.answer_to("m0", Acquire(session, 1, "l", 1_000)) == first
+    assert cluster.members["m0"].machine.state.token == 1
+    late = cluster.answer_to("m0", Renew(session, 0, "l", 1))
     assert "older" in str(late)
-    assert "no such session" in str(bench.done("m0", Acquire(999, 1, "l", 1_000)))
+    assert "no such session" in str(cluster.answer_to("m0", Acquire(999, 1, "l", 1_000)))
 
 
 @pytest.mark.parametrize(
@@ -379,27 +383,27 @@
     ],
 )
 def test_an_impossible_request_is_refused_and_changes_nothing(request_: Request, why: str) -> None:
-    """By any member, before it comes to the log."""
-    bench = Bench(3, Parts())
-    bench.elect("m0")
-    last = bench.members["m0"].raft.log.last_index
-    assert why in str(bench.done("m0", request_))
-    assert why in str(bench.done("m1", request_))
-    assert bench.members["m0"].raft.log.last_index == last
+    """Any member refuses it before it reaches the log."""
+    cluster = Cluster(3, Parts())
+    cluster.elect("m0")
+    last = cluster.members["m0"].raft.log.last_index
+    assert why in str(cluster.answer_to("m0", request_))
+    assert why in str(cluster.answer_to("m1", request_))
+    assert cluster.members["m0"].raft.log.last_index == last
 
 
 def test_a_member_far_behind_gets_a_snapshot_and_goes_on() -> None:
-    """With sessions, leases and tokens in it."""
-    bench = Bench(3, Parts())
-    bench.elect("m0")
-    session = bench.session("m0")
-    bench.cut = {"m2"}
-    bench.done("m0", Acquire(session, 1, "l", 60_000))
-    bench.did("m0", bench.members["m0"].compact())
-    bench.cut = set()
+    """The snapshot has the sessions, leases and tokens."""
+    cluster = Cluster(3, Parts())
+    cluster.elect("m0")
+    session = cluster.open_session("m0")
+    cluster.unreachable = {"m2"}
+    cluster.answer_to("m0", Acquire(session, 1, "l", 60_000))
+    cluster.carry_out("m0", cluster.members["m0"].compact())
+    cluster.unreachable = set()
     for _ in range(3):
-        bench.wake("m0", after_us=250)
-        bench.settle()
-    assert bench.members["m2"].machine.state == bench.members["m0"].machine.state
-    assert bench.members["m2"].raft.log.snapshot.index > 0
+        cluster.wake("m0", after_us=250)
+        cluster.deliver()
+    assert cluster.members["m2"].machine.state == cluster.members["m0"].machine.state
+    assert cluster.members["m2"].raft.log.snapshot.index > 0
     assert isinstance(decode_command(msgspec.msgpack.encode(Open("x"))), Open)
