--- a/tests/quorum/test_model.py
+++ b/tests/quorum/test_model.py
@@ -1,4 +1,4 @@
-"""The model: every state of some small configurations holds every rule, and planted bugs are found by it."""
+"""Model checking: every state of some small configurations keeps every rule; planted bugs are found."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 
 
 @pytest.fixture(scope="module")
-def whole() -> list[Explored]:
-    """All small configurations, on several processes."""
+def explored() -> list[Explored]:
+    """Explore all small configurations in several processes."""
     with ProcessPoolExecutor(4) as pool:
         return list(pool.map(explore, SMALL))
 
 
-def test_every_state_holds_every_rule(whole: list[Explored]) -> None:
-    """Of each configuration, to the last state."""
-    assert [found.rule for found in whole] == [""] * len(SMALL)
+def test_every_state_holds_every_rule(explored: list[Explored]) -> None:
+    """No state of any of the small configurations breaks a rule."""
+    assert [found.rule for found in explored] == [""] * len(SMALL)
 
 
-def test_the_states_are_many_and_something_happens_in_them(whole: list[Explored]) -> None:
-    """Always the same number; leases are held in a good part of them."""
-    assert [found.states for found in whole] == [found.states for found in whole if found.held > 5_000]
-    assert sum(found.states for found in whole) > 500_000
+def test_the_states_are_many_and_something_happens_in_them(explored: list[Explored]) -> None:
+    """The exploration is not vacuous: there are many states, and leases are held in many of them."""
+    assert [found.states for found in explored] == [found.states for found in explored if found.held > 5_000]
+    assert sum(found.states for found in explored) > 500_000
 
 
 @pytest.mark.parametrize("name", FOUND_IN)
 def test_a_planted_bug_is_found(name: str) -> None:
-    """With the steps that lead to it."""
+    """The broken rule is the expected one, and the steps that lead to it are reported."""
     limits, rule = FOUND_IN[name]
     found = explore(limits, BUGS[name].parts)
     assert found.rule == rule
