--- a/tests/quorum/test_processes.py
+++ b/tests/quorum/test_processes.py
@@ -1,4 +1,4 @@
-"""Leases by real processes in the lab: members, holders and a resource whose own record is judged."""
+"""Leases with real processes in the lab: members, holders, and a resource whose own record is checked."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def fault(kind: str, at_s: float, for_s: float, *names: str, more: str = "") -> str:
-    """A fault's table."""
+    """Return the TOML table of a fault."""
     return f'[[fault]]\nkind = "{kind}"\nat_s = {at_s}\nfor_s = {for_s}\non = {json.dumps(names)}\n{more}\n'
 
 
@@ -68,15 +68,15 @@
         fault("limit", at_s, 2, f"quorum{at}", more="file_bytes = 1500") for at, at_s in enumerate((2, 4, 6))
     ),
     "a slow member": fault("slow", 2, 5, "quorum0", more="share = 0.1"),
-    # Each before the last one goes on: whoever holds the lease stands still while another takes it.
+    # The pauses overlap, so that whoever holds the lease is paused while another process acquires it.
     "holders paused": "".join(
         fault("pause", at_s + 0.5 * at, 1.5, name) for at_s in (1, 5) for at, name in enumerate(HOLDERS)
     ),
 }
 
 
-def played(folder: Path, faults: str, careless: bool = False) -> tuple[Result, list[records.Acted]]:
-    """A run's result, and the acts on the fenced resource."""
+def run_with_faults(folder: Path, faults: str, careless: bool = False) -> tuple[Result, list[records.Acted]]:
+    """Run the fleet with faults; return the result and the actions on the fenced resource."""
     text = FLEET.replace("CARELESS", str(careless).lower()) + faults
     plan = run_folders.planned("leases", scenario.read(text, "leases"), 1)
     result = run_folders.play(plan, folder / "run", lambda _: None)
@@ -86,8 +86,8 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_no_two_act_at_once(tmp_path: Path, name: str) -> None:
-    """By the resource's record; and the work goes on afterwards, passed on to others."""
-    result, acts = played(tmp_path, FAULTS[name])
+    """By the resource's record no two holders act at once, and the work continues with other holders."""
+    result, acts = run_with_faults(tmp_path, FAULTS[name])
     assert result.checks["one_actor"].ok, result.checks["one_actor"]
     assert result.checks["no_crash"].ok
     assert len({act.token for act in acts}) > 3
@@ -97,8 +97,8 @@
 
 
 def test_a_careless_holder_is_found(tmp_path: Path) -> None:
-    """One that acts on after it had to stop: the unfenced resource shows it, the fenced one keeps it out."""
-    result, acts = played(tmp_path, FAULTS["holders paused"], careless=True)
+    """A holder that acts after its lease ended shows at the unfenced resource; the fence rejects it."""
+    result, acts = run_with_faults(tmp_path, FAULTS["holders paused"], careless=True)
     assert not result.checks["one_actor"].ok
     assert "unfenced" in result.checks["one_actor"].first
     assert not all(act.admitted for act in acts)
@@ -110,7 +110,7 @@
 
 
 def test_wall_clocks_that_step_by_hours_change_nothing(tmp_path: Path) -> None:
-    """Of all members, all the time; a member is killed meanwhile."""
+    """The wall clocks of all members step throughout the run, and members are killed meanwhile."""
     text = FLEET.replace("CARELESS", "false").replace(
         'module = "quorum"', 'module = "fleetlab.stepped_clock"'
     )
@@ -121,7 +121,7 @@
     logs = [tmp_path / "run" / "processes" / f"quorum{number}" / "log" for number in range(3)]
     lines = [line for log in logs for line in log.read_text().splitlines()]
     hours = {line.split("T")[1][:2] for line in lines if "timestamp" in line and "T" in line}
-    assert len(hours) > 1  # the clock did step
+    assert len(hours) > 1  # the clocks did step
     assert result.checks["one_actor"].ok
     assert acts[-1].t > 8.0
 
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize(("lease", "hold_ms"), [("own", 0), ("one", 20)])
 def test_a_crowd_measures_itself(tmp_path: Path, lease: str, hold_ms: int) -> None:
-    """All hold and renew, or all have their turn at one lease; the figures stand in the run's result."""
+    """The run's result has the load's figures: many leases renewed, or one lease passed around."""
     text = FLEET.partition('[[program]]\nname = "resource"')[0]
     text += CROWD.replace("LEASE", lease).replace("HOLD", str(hold_ms))
     plan = run_folders.planned("leases", scenario.read(text, "leases"), 1)
