--- a/tests/quorum/servers.py
+++ b/tests/quorum/servers.py
@@ -1,4 +1,4 @@
-"""Members in one process, on real sockets and folders, for tests of the shell."""
+"""Members in one process, on real sockets and folders, for tests of the network service."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def free_port() -> int:
-    """A port that nothing uses."""
+    """Return a port that is not in use."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 class Quorum:
-    """Servers by name; each can be ended and started again."""
+    """Servers by name; each can be stopped and started again."""
 
     def __init__(self, folder: Path, count: int, spare: int = 0) -> None:
         self.folder = folder
@@ -40,10 +40,10 @@
         self.members = {name: ("127.0.0.1", free_port()) for name in names}
         self.operators = {name: free_port() for name in names}
         self.voters = names[:count]
-        self.up: dict[str, Server] = {}
+        self.running: dict[str, Server] = {}
 
     def config(self, name: str) -> Config:
-        """A member's configuration."""
+        """Return a member's configuration."""
         members = {other: f"{host}:{port}" for other, (host, port) in self.members.items()}
         return Config(
             name=name, listen=members[name], folder=str(self.folder / name), members=members,
@@ -52,76 +52,76 @@
         )  # fmt: skip
 
     def written(self, name: str, path: Path) -> Path:
-        """A member's configuration as a file."""
+        """Write a member's configuration as a TOML file."""
         raw = msgspec.to_builtins(self.config(name))
-        plain = [f"{key} = {json.dumps(item)}" for key, item in raw.items() if not isinstance(item, dict)]
+        lines = [f"{key} = {json.dumps(item)}" for key, item in raw.items() if not isinstance(item, dict)]
         for key, item in raw.items():
             if isinstance(item, dict):
-                plain += [f"[{key}]", *(f"{name} = {json.dumps(value)}" for name, value in item.items())]
-        path.write_text("\n".join(plain), encoding="utf-8")
+                lines += [f"[{key}]", *(f"{name} = {json.dumps(value)}" for name, value in item.items())]
+        path.write_text("\n".join(lines), encoding="utf-8")
         return path
 
     async def start(self, *names: str) -> None:
         """Start some members."""
         for name in names:
-            self.up[name] = Server(self.config(name))
-            await self.up[name].start()
+            self.running[name] = Server(self.config(name))
+            await self.running[name].start()
 
     async def stop(self, *names: str) -> None:
-        """End some members."""
+        """Stop some members."""
         for name in names:
-            await self.up.pop(name).stop()
+            await self.running.pop(name).stop()
 
     def client(self) -> Client:
-        """A client of all of them."""
+        """Return a client of all members."""
         return Client(self.members, "test")
 
     async def health(self, name: str) -> Health:
-        """How one says that it is."""
+        """Ask a member for its status."""
         return await member_status(self.members[name])
 
     async def leader(self) -> str:
-        """Who leads, once somebody does."""
-        found: list[Address] = []
+        """Return the leader's name, once there is one that has committed an entry."""
+        leaders: list[Address] = []
 
-        async def led() -> bool:
+        async def has_leader() -> bool:
             try:
-                found.append(await find_leader({name: self.members[name] for name in self.up}))
+                leaders.append(await find_leader({name: self.members[name] for name in self.running}))
             except QuorumError:
                 return False
-            health = await member_status(found[-1])
+            health = await member_status(leaders[-1])
             return health.role == "leader" and health.commit > 0
 
-        await until(led)
-        return next(name for name, address in self.members.items() if address == found[-1])
+        await until(has_leader)
+        return next(name for name, address in self.members.items() if address == leaders[-1])
 
 
-async def until(holds: Callable[[], object], within_s: float = 10.0) -> None:
-    """Wait until something holds; a function or one that is awaited."""
+async def until(condition: Callable[[], object], within_s: float = 10.0) -> None:
+    """Wait until a condition holds, given as a function or a coroutine function."""
     async with asyncio.timeout(within_s):
         while True:
-            held = holds()
-            if await held if asyncio.iscoroutine(held) else held:
+            result = condition()
+            if await result if asyncio.iscoroutine(result) else result:
                 return
             await asyncio.sleep(0.02)
 
 
 @asynccontextmanager
 async def quorum(folder: Path, count: int = 3, spare: int = 0) -> AsyncIterator[Quorum]:
-    """Members that run, and are ended whatever happens."""
-    some = Quorum(folder, count, spare)
-    await some.start(*some.voters)
+    """Run members and stop them at the end, whatever happens."""
+    cluster = Quorum(folder, count, spare)
+    await cluster.start(*cluster.voters)
     try:
-        yield some
+        yield cluster
     finally:
-        await some.stop(*list(some.up))
+        await cluster.stop(*list(cluster.running))
 
 
 class FullDisks:
-    """Folders whose disk is full: nothing is written beside what their reserve made room for."""
+    """Simulates full disks of some folders: only the space of a reserve that was given up can be written."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.full: dict[Path, int] = {}  # folder: bytes that are left once its reserve is given up
+        self.full: dict[Path, int] = {}  # bytes that can be written once the reserve is given up, by folder
         self._write, self._reserve = store.write_whole, os.posix_fallocate
         patch.setattr(store, "write_whole", self._written)
         patch.setattr(os, "posix_fallocate", self._reserved)
@@ -134,7 +134,7 @@
         folder = self._folder(handle)
         if folder is not None:
             if (folder / "reserve").exists() or self.full[folder] < len(data):
-                os.write(handle, data[: len(data) // 2])  # as a full disk does: a part is there
+                os.write(handle, data[: len(data) // 2])  # a full disk may take a part
                 raise OSError(errno.ENOSPC, "No space left on device")
             self.full[folder] -= len(data)
         self._write(handle, data)
--- a/tests/quorum/test_tasks.py
+++ b/tests/quorum/test_tasks.py
@@ -1,4 +1,4 @@
-"""Fleet tasks: passed over with their state, never two at once, stopped in time; and the sweeper."""
+"""Fleet tasks: handed over with their state, never run twice at once, stopped in time; and the sweeper."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class Counting:
-    """A task that counts, and notes who is at it when."""
+    """A task that counts its steps and notes which process performs each, from which state and token."""
 
     def __init__(self, name: str, notes: list[tuple[str, int, int]], fails: bool = False) -> None:
         self.name, self.notes, self.fails = name, notes, fails
         self.cancelled_us = 0
 
     async def step(self, state: bytes, token: int) -> StepResult:
-        """One more."""
+        """Count one more."""
         if self.fails:
             raise ValueError("planted")
         self.notes.append((self.name, int(state or b"0"), token))
@@ -47,84 +47,88 @@
         return StepResult(b"%d" % (int(state or b"0") + 1))
 
 
-def counting(some: Quorum, name: str, notes: list[tuple[str, int, int]], fails: bool = False) -> TaskRunner:
-    """A process's part in the task."""
-    return TaskRunner(some.members, name, Counting(name, notes, fails), terms=TERMS)
+def counting_runner(
+    cluster: Quorum, name: str, notes: list[tuple[str, int, int]], fails: bool = False
+) -> TaskRunner:
+    """Return a process's runner of the counting task."""
+    return TaskRunner(cluster.members, name, Counting(name, notes, fails), terms=TERMS)
 
 
 async def test_a_task_passes_over_with_its_state(tmp_path: Path) -> None:
-    """Its holder is lost without a word: the next goes on from what was written, under a newer token."""
+    """A holder is lost without releasing; the next continues from the written state with a newer token."""
     notes: list[tuple[str, int, int]] = []
-    async with quorum(tmp_path) as some:
-        over = asyncio.Event()
-        running = {name: asyncio.ensure_future(counting(some, name, notes).run(over)) for name in "abc"}
+    async with quorum(tmp_path) as cluster:
+        stop = asyncio.Event()
+        runners = {
+            name: asyncio.ensure_future(counting_runner(cluster, name, notes).run(stop)) for name in "abc"
+        }
         await until(lambda: len(notes) > 10)
         first = notes[-1][0]
-        running.pop(first).cancel()
+        runners.pop(first).cancel()
         await until(lambda: notes[-1][0] != first and len(notes) > 30)
-        over.set()
-        await asyncio.gather(*running.values())
-    turns = [key for key, _ in itertools.groupby(notes, key=lambda note: (note[0], note[2]))]
-    assert [token for _, token in turns] == sorted({token for _, token in turns})
+        stop.set()
+        await asyncio.gather(*runners.values())
+    holdings = [key for key, _ in itertools.groupby(notes, key=lambda note: (note[0], note[2]))]
+    assert [token for _, token in holdings] == sorted({token for _, token in holdings})
     states = [state for _, state, _ in notes]
     assert states == sorted(states)
-    assert len(set(states)) >= len(states) - len(turns)  # a step whose holder was lost may be done again
+    assert len(set(states)) >= len(states) - len(holdings)  # a step whose holder was lost may run again
 
 
 async def test_an_orderly_end_passes_a_task_over_at_once(tmp_path: Path) -> None:
-    """The next has it long before the lease would have run out."""
+    """The next holder gets the task long before the lease would have expired."""
     notes: list[tuple[str, int, int]] = []
-    async with quorum(tmp_path) as some:
-        over, other = asyncio.Event(), asyncio.Event()
+    async with quorum(tmp_path) as cluster:
+        stop, stop_second = asyncio.Event(), asyncio.Event()
         long = TaskTerms("count", ttl_ms=60_000)
         first = asyncio.ensure_future(
-            TaskRunner(some.members, "a", Counting("a", notes), terms=long).run(over)
+            TaskRunner(cluster.members, "a", Counting("a", notes), terms=long).run(stop)
         )
         await until(lambda: len(notes) > 3)
         second = asyncio.ensure_future(
-            TaskRunner(some.members, "b", Counting("b", notes), terms=long).run(other)
+            TaskRunner(cluster.members, "b", Counting("b", notes), terms=long).run(stop_second)
         )
-        over.set()
+        stop.set()
         await first
         await until(lambda: notes[-1][0] == "b")
-        other.set()
+        stop_second.set()
         await second
 
 
 async def test_without_a_quorum_a_task_stops_in_time_and_goes_on_after(tmp_path: Path) -> None:
-    """The step is cut off before the lease is over; nothing is done until members are back."""
+    """The step is cancelled before the lease ends, and nothing runs until the members are back."""
     notes: list[tuple[str, int, int]] = []
-    async with quorum(tmp_path) as some:
-        over = asyncio.Event()
-        runner = counting(some, "a", notes)
-        running = asyncio.ensure_future(runner.run(over))
+    async with quorum(tmp_path) as cluster:
+        stop = asyncio.Event()
+        runner = counting_runner(cluster, "a", notes)
+        running = asyncio.ensure_future(runner.run(stop))
         await until(lambda: len(notes) > 3)
-        gone = [name for name in some.voters if name != "q0"]
-        await some.stop(*gone)
+        stopped = [name for name in cluster.voters if name != "q0"]
+        await cluster.stop(*stopped)
         await until(lambda: runner.token == 0)
         count = len(notes)
         await asyncio.sleep(1.0)
         assert len(notes) == count
-        await some.start(*gone)
+        await cluster.start(*stopped)
         await until(lambda: len(notes) > count + 3)
         assert notes[-1][2] > notes[count - 1][2]
         assert runner.counts.lost >= 1
-        over.set()
+        stop.set()
         await running
 
 
 async def test_a_task_that_fails_is_let_to_another(tmp_path: Path) -> None:
-    """After some steps in a row; the runner itself goes on."""
+    """After some failed steps in a row another process gets the task; the failing runner keeps running."""
     notes: list[tuple[str, int, int]] = []
-    async with quorum(tmp_path) as some:
-        over = asyncio.Event()
-        bad = counting(some, "bad", notes, fails=True)
-        running = [asyncio.ensure_future(bad.run(over))]
-        await until(lambda: bad.counts.errors > 0)
-        running.append(asyncio.ensure_future(counting(some, "good", notes).run(over)))
+    async with quorum(tmp_path) as cluster:
+        stop = asyncio.Event()
+        failing = counting_runner(cluster, "bad", notes, fails=True)
+        running = [asyncio.ensure_future(failing.run(stop))]
+        await until(lambda: failing.counts.errors > 0)
+        running.append(asyncio.ensure_future(counting_runner(cluster, "good", notes).run(stop)))
         await until(lambda: len(notes) > 3)
-        assert bad.counts.errors >= MAX_CONSECUTIVE_ERRORS
-        over.set()
+        assert failing.counts.errors >= MAX_CONSECUTIVE_ERRORS
+        stop.set()
         await asyncio.gather(*running)
 
 
@@ -132,20 +136,20 @@
 
 
 def test_counts_go_on_over_a_relays_lives() -> None:
-    """A count that is smaller is of a new process; a gauge is of relays that answer."""
-    found = Summary()
-    for at, (served, flying) in enumerate(((10, 3), (25, 4), (5, 1))):
-        noted(found, "r0", float(at), figures_of(STATS.format("x", served, flying).encode()))
-    noted(found, "r1", 3.0, figures_of(STATS.format("x", 7, 2).encode()))
-    assert totals([found]) == {"requests.x.served": 25 + 5 + 7, "in_flight": 3}
-    noted(found, "r1", 4.0, None, "no answer in time")
-    assert totals([found]) == {"requests.x.served": 37, "in_flight": 1}
-    assert summary.opened(summary.packed(found)) == found
+    """A smaller count comes from a new process and is added; a gauge counts only relays that answer."""
+    summary_read = Summary()
+    for at, (served, in_flight) in enumerate(((10, 3), (25, 4), (5, 1))):
+        noted(summary_read, "r0", float(at), figures_of(STATS.format("x", served, in_flight).encode()))
+    noted(summary_read, "r1", 3.0, figures_of(STATS.format("x", 7, 2).encode()))
+    assert totals([summary_read]) == {"requests.x.served": 25 + 5 + 7, "in_flight": 3}
+    noted(summary_read, "r1", 4.0, None, "no answer in time")
+    assert totals([summary_read]) == {"requests.x.served": 37, "in_flight": 1}
+    assert summary.opened(summary.packed(summary_read)) == summary_read
     assert summary.opened(b"\xff garbage") == Summary()
 
 
 def test_a_summary_of_the_largest_fleet_fits_a_record() -> None:
-    """With large counts, and with a relay that says a lot."""
+    """With large counts, and relays that report many figures."""
     found = Summary()
     many = "".join(f"app.requests.class-{number}.served:{10**12}|c\n" for number in range(100))
     for number in range(summary.MOST_IN_RECORD):
@@ -157,18 +161,18 @@
 
 
 def test_a_large_fleet_is_spread_over_records_that_hold_it() -> None:
-    """Each relay in one of them, and in the same one whoever else comes."""
+    """Each relay is in exactly one record, and stays in it when others are added."""
     names = [f"r{number}" for number in range(1024)]
     slices = summary.slices_of(names)
-    assert sorted(name for some in slices for name in some) == sorted(names)
+    assert sorted(name for names_of_slice in slices for name in names_of_slice) == sorted(names)
     assert max(map(len, slices)) <= summary.MOST_IN_RECORD
     more = summary.slices_of([*names, *(f"x{number}" for number in range(1024))])
-    assert all(set(some) <= set(others) for some, others in zip(slices, more, strict=True))
+    assert all(set(before) <= set(after) for before, after in zip(slices, more, strict=True))
     assert summary.slices_of(names[:200]) == [sorted(names[:200])], "a small fleet has one"
 
 
 def test_the_slices_of_a_fleet_are_shown_as_one() -> None:
-    """Sums over all of them, and rounds that are over in each."""
+    """Totals are summed over all slices; a round counts once it is complete in each."""
     slices = [Summary(rounds=3), Summary(rounds=2)]
     for at, found in enumerate(slices):
         noted(found, f"r{at}", 1.0, figures_of(STATS.format("x", 10 + at, 1).encode()))
@@ -194,13 +198,13 @@
 
 @pytest.mark.parametrize("body", [b"", b"<html>", b"app.x:1", b"app.x:-1|c", b"app.x:1|z", b"\xff:1|c|"])
 def test_what_are_no_figures_is_told(body: bytes) -> None:
-    """And nothing of it is taken."""
+    """An unreadable answer is an error as a whole."""
     with pytest.raises(FiguresError):
         figures_of(body)
 
 
 def test_relays_are_read_in_turn() -> None:
-    """Whoever reads, and whoever is new or gone."""
+    """The order is kept whichever process reads and whichever relays are added or removed."""
     found = Summary(position="b")
     assert following(found, ["d", "a", "b", "c"], 1) == (["c"], False)
     assert following(found, ["d", "a", "b", "c"], 5) == (["c", "d"], True)
@@ -218,7 +222,7 @@
     ],
 )
 def test_a_sweepers_bad_configuration_is_one_line(tmp_path: Path, line: str, key: str) -> None:
-    """With file and key."""
+    """The line has the key."""
     path = tmp_path / "sweep.toml"
     head, _, table = line.partition("[relays]")
     relays = "[relays]" + table if table else "[relays]"
@@ -230,7 +234,7 @@
 
 
 class Relays:
-    """Relays' operators' addresses that answer with figures, and note each call."""
+    """Stand-ins of relays' operator addresses, which answer with figures and note each call."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, str] = {}
@@ -238,7 +242,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def start(self, names: list[str]) -> None:
-        """Listen for each."""
+        """Listen on an address for each name."""
         for name in names:
             server = await asyncio.start_server(partial(self._serve, name), "127.0.0.1", 0)
             self._servers.append(server)
@@ -252,7 +256,7 @@
         writer.close()
 
     def stop(self) -> None:
-        """End."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
@@ -260,9 +264,9 @@
 NAMES = ["r0", "r1", "r2", "r3", "r4"]
 
 
-def sweepers(folder: Path, some: Quorum, options: list[str], relays: dict[str, str]) -> list[Path]:
-    """The configurations of two sweepers of these relays."""
-    paths, members = [], {name: f"{host}:{port}" for name, (host, port) in some.members.items()}
+def sweepers(folder: Path, cluster: Quorum, options: list[str], relays: dict[str, str]) -> list[Path]:
+    """Write the configurations of two sweepers of these relays."""
+    paths, members = [], {name: f"{host}:{port}" for name, (host, port) in cluster.members.items()}
     for name in ("s0", "s1"):
         path = folder / f"{name}.toml"
         lines = [f'name = "{name}"', "pause_ms = 50", *options, "[members]"]
@@ -274,34 +278,34 @@
 
 
 def sweeping(paths: list[Path]) -> list[subprocess.Popen[bytes]]:
-    """The sweepers' processes."""
+    """Start the sweepers' processes."""
     return [subprocess.Popen([sys.executable, "-m", "sweeper", str(path)], cwd=ROOT) for path in paths]
 
 
 async def test_one_of_two_sweepers_reads_and_the_other_goes_on(tmp_path: Path) -> None:
-    """Real processes: relays are read in turn by one; it is killed, and the next goes on where it was."""
+    """Real processes: one reads the relays in turn; after it is killed, the other continues where it was."""
     relays = Relays()
     await relays.start(NAMES)
-    async with quorum(tmp_path) as some:
-        await some.leader()
+    async with quorum(tmp_path) as cluster:
+        await cluster.leader()
         more = {"gone": "127.0.0.1:1"}
-        paths = sweepers(tmp_path, some, ["pace_per_s = 4.0", "ttl_ms = 800"], relays.addresses | more)
-        some_processes = sweeping(paths)
+        paths = sweepers(tmp_path, cluster, ["pace_per_s = 4.0", "ttl_ms = 800"], relays.addresses | more)
+        processes = sweeping(paths)
         try:
-            client = some.client()
+            client = cluster.client()
             await until(lambda: len(relays.calls) > 8, 30)
             holder = (await client.read(5.0, lease="task/sweep")).owner
             before = summary.opened((await client.read(5.0, key="task/sweep")).value)
-            some_processes[int(holder[1])].kill()
+            processes[int(holder[1])].kill()
             count = len(relays.calls)
             await until(lambda: len(relays.calls) > count + 12, 30)
-            told = await client.read(5.0, lease="task/sweep", key="task/sweep")
-            after = summary.opened(told.value)
-            assert told.owner == {"s0": "s1", "s1": "s0"}[holder]
+            read = await client.read(5.0, lease="task/sweep", key="task/sweep")
+            after = summary.opened(read.value)
+            assert read.owner == {"s0": "s1", "s1": "s0"}[holder]
             assert after.rounds > before.rounds
             assert after.relays["gone"].why
             assert set(after.relays) == {*NAMES, "gone"}
-            # In turn all along, but where the holder was lost: there at most one step is done again.
+            # In turn throughout, except that at most one step is repeated where the holder was lost.
             jumps = [
                 at
                 for at, (one, next_) in enumerate(itertools.pairwise(relays.calls))
@@ -317,22 +321,22 @@
             assert json.loads(printed.stdout)["totals"]["requests.x.served"] > 0
             client.close()
         finally:
-            for process in some_processes:
+            for process in processes:
                 process.kill()
                 process.wait()
             relays.stop()
 
 
 async def test_a_thousand_relays_are_swept_on_when_their_sweeper_is_killed(tmp_path: Path) -> None:
-    """Real processes: each slice passes over with what was read of it, and all are shown as one fleet."""
+    """Real processes: each slice is handed over with what was read of it, and all are shown as one fleet."""
     relays = Relays()
     await relays.start(["r0"])
     fleet = {f"r{number}": relays.addresses["r0"] for number in range(1024)}
-    async with quorum(tmp_path) as some:
-        await some.leader()
-        paths = sweepers(tmp_path, some, ["pace_per_s = 200.0", "ttl_ms = 2000"], fleet)
+    async with quorum(tmp_path) as cluster:
+        await cluster.leader()
+        paths = sweepers(tmp_path, cluster, ["pace_per_s = 200.0", "ttl_ms = 2000"], fleet)
         processes = sweeping(paths)
-        client, tasks = some.client(), tasks_of(fleet)
+        client, tasks = cluster.client(), tasks_of(fleet)
         try:
             await until(lambda: len(relays.calls) > 600, 60)
             holders = [(await client.read(5.0, lease=f"task/{task}")).owner for task in tasks]
@@ -357,5 +361,5 @@
 
 
 def follows(one: str, other: str) -> bool:
-    """Whether a relay is the next in turn."""
+    """Whether ``other`` is the relay after ``one`` in turn."""
     return NAMES[(NAMES.index(one) + 1) % len(NAMES)] == other
