--- a/tests/quorum/planted_bugs.py
+++ b/tests/quorum/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Planted bugs: each is one wrong step of a class, and has to be found by a rule of the simulator."""
+"""Planted bugs: each makes one step of a class wrong and has to be found by a rule of the simulator."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from fleetlab.sim.quorum import Parts
 from quorum.holder import Fence, HeldLease, RequestTiming
 from quorum.incarnations import Incarnation, IncarnationRegistry, StartupClaim
-from quorum.lease_timers import Clock, LeaseTimers
+from quorum.lease_timers import LeaseTimer, LeaseTimers
 from quorum.messages import (
     COMMAND,
     Action,
-    Appended,
-    AskVote,
+    AppendResponse,
     Entry,
-    Hard,
+    HardState,
     Message,
-    Readable,
+    ReadReady,
+    RequestVote,
     Send,
-    Vote,
+    VoteResponse,
 )
-from quorum.raft import Leading, Raft
+from quorum.raft import LeaderState, Raft
 from quorum.state_machine import (
     Acquire,
     Answer,
@@ -39,103 +39,103 @@
 
 
 class VoteNotSynced(Raft):
-    """A vote is told before it is on the disk."""
+    """Sends votes and vote requests before they are durable."""
 
-    def _promise(self, to: str, message: Message) -> None:
-        if isinstance(message, Vote | AskVote):
+    def _send_after_sync(self, to: str, message: Message) -> None:
+        if isinstance(message, VoteResponse | RequestVote):
             self._emit(Send(to, message))
         else:
-            super()._promise(to, message)
+            super()._send_after_sync(to, message)
 
 
 class AppendNotSynced(Raft):
-    """Entries are acknowledged before they are on the disk."""
+    """Acknowledges entries before they are durable."""
 
-    def _promise(self, to: str, message: Message) -> None:
-        if isinstance(message, Appended):
+    def _send_after_sync(self, to: str, message: Message) -> None:
+        if isinstance(message, AppendResponse):
             self._emit(Send(to, message))
         else:
-            super()._promise(to, message)
+            super()._send_after_sync(to, message)
 
 
 class VoteForgotten(Raft):
-    """The term is kept, the vote is not."""
+    """Stores the term without the vote."""
 
-    def _save_hard(self) -> None:
-        self._persist(hard=Hard(self.term, ""))
+    def _persist_hard_state(self) -> None:
+        self._persist(hard=HardState(self.term, ""))
 
 
 class OlderTermCommitted(Raft):
-    """A majority is taken for enough whatever the entry's term."""
+    """Commits an entry of an older term by counting its copies."""
 
     def _may_commit(self, index: int) -> bool:
         return True
 
 
 class VoteForAnyLog(Raft):
-    """Votes without a look at the asker's log."""
+    """Votes without comparing the candidate's log."""
 
-    def _up_to_date(self, message: AskVote) -> bool:
+    def _is_up_to_date(self, message: RequestVote) -> bool:
         return True
 
 
 class OwnCopyNotSynced(Raft):
-    """A leader counts its own copy at once."""
+    """Counts the leader's own copy before it is durable."""
 
-    def _after_sync(self, done: Callable[[], None]) -> None:
+    def _after_sync(self, callback: Callable[[], None]) -> None:
         if self.leader_state is not None:
-            done()
+            callback()
         else:
-            super()._after_sync(done)
+            super()._after_sync(callback)
 
 
 class ReplacesAll(Raft):
-    """An old message takes away entries that it does not speak of."""
+    """Truncates entries behind those of an old message, though they do not conflict with it."""
 
-    def _take(self, previous: int, entries: tuple[Entry, ...]) -> None:
+    def _store_entries(self, previous: int, entries: tuple[Entry, ...]) -> None:
         if previous + 1 <= self.log.last_index:
-            self.log.replace(previous + 1, entries)
+            self.log.replace_from(previous + 1, entries)
             self._persist(first=previous + 1, entries=entries)
             return
-        super()._take(previous, entries)
+        super()._store_entries(previous, entries)
 
 
 class NoPreVote(Raft):
-    """Stands for election without asking whether it would be voted for."""
+    """Starts elections without a pre-vote."""
 
-    def _stand(self, pre: bool, transfer: bool = False) -> None:
-        super()._stand(False, transfer)
+    def _start_election(self, pre: bool, transfer: bool = False) -> None:
+        super()._start_election(False, transfer)
 
 
 class StaleRead(Raft):
-    """A leader answers reads without asking whether it still is one."""
+    """Answers reads without confirming that this member still leads."""
 
-    def _confirm(self, leading: Leading) -> None:
-        if self.commit < leading.first:
+    def _confirm_reads(self, leader_state: LeaderState) -> None:
+        if self.commit < leader_state.first_index:
             return
-        for tag, _ in leading.reads:
-            self._emit(Readable(tag))
-        leading.reads = []
+        for tag, _ in leader_state.pending_reads:
+            self._emit(ReadReady(tag))
+        leader_state.pending_reads = []
 
 
 class ReadsTooSoon(Raft):
-    """A new leader answers reads before it knows what was committed."""
+    """Answers reads as a new leader before the first entry of its term is committed."""
 
-    def _confirm(self, leading: Leading) -> None:
-        leading.first, first = 0, leading.first
-        super()._confirm(leading)
-        leading.first = first
+    def _confirm_reads(self, leader_state: LeaderState) -> None:
+        leader_state.first_index, first = 0, leader_state.first_index
+        super()._confirm_reads(leader_state)
+        leader_state.first_index = first
 
 
 class MembersAtOnce(Raft):
-    """Changes of membership may overlap."""
+    """Allows overlapping membership changes."""
 
-    def _may_change(self, leading: Leading, members: tuple[str, ...]) -> bool:
+    def _is_valid_change(self, leader_state: LeaderState, members: tuple[str, ...]) -> bool:
         return len(members) > 0
 
 
 class SnapshotWithoutSessions(StateMachine):
-    """Sessions are left out of the snapshot."""
+    """Loses the sessions when it restores a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -143,7 +143,7 @@
 
 
 class TokenAgain(StateMachine):
-    """The next token is one more than what is in force, not than what was ever given."""
+    """Issues one more than the largest token in force, not than the last one ever issued."""
 
     def _next_token(self) -> int:
         self.state.token = 1 + max((lease.token for lease in self.state.leases.values()), default=0)
@@ -151,117 +151,123 @@
 
 
 class RepeatsCount(StateMachine):
-    """A request that is repeated is done again."""
+    """Applies a repeated request again."""
 
-    def _once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
+    def _apply_once(self, index: int, command: Close | Acquire | Renew | Release | Put) -> Answer:
         session = self.state.sessions.get(command.session)
         if session is not None:
             session.seq = -1
-        return super()._once(index, command)
+        return super()._apply_once(index, command)
 
 
 class ExpiresRenewed(StateMachine):
-    """The end of a lease's time counts also where it was renewed meanwhile."""
+    """Expires a lease although it was renewed after the expiry was proposed."""
 
-    def _change(self, session: Session, command: Close | Acquire | Renew | Release | Put) -> Answer:
-        answer = super()._change(session, command)
+    def _apply_session_command(
+        self, session: Session, command: Close | Acquire | Renew | Release | Put
+    ) -> Answer:
+        answer = super()._apply_session_command(session, command)
         if isinstance(command, Renew) and command.lease in self.state.leases:
             self.state.leases[command.lease].beat = 0
         return answer
 
 
 class NewLeaderShortens(LeaseTimers):
-    """A new leader takes every lease's time for over."""
+    """Treats every lease's time as over when it becomes leader."""
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         super().begin(now_us, {name: replace(lease, ttl_ms=0) for name, lease in leases.items()})
 
 
 class ClocksGoOn(LeaseTimers):
-    """A leader goes on with the clocks that it kept from the last time it led."""
+    """Continues the timers of the last time this member led."""
 
-    _kept: Mapping[str, Clock] = {}
+    _kept: Mapping[str, LeaseTimer] = {}
 
     def clear(self) -> None:
-        self._kept = dict(self._running)
+        self._kept = dict(self._timers)
         super().clear()
 
     def begin(self, now_us: int, leases: Mapping[str, Lease]) -> None:
         super().begin(now_us, leases)
         for name, clock in self._kept.items():
             if name in leases:
-                end = clock.end
+                end = clock.end_command
                 if isinstance(end, Expire):
                     end = replace(end, beat=max(end.beat, leases[name].beat))
-                self._set(name, Clock(clock.due_us, end))
+                self._set_timer(name, LeaseTimer(clock.due_us, end))
 
 
 class OldCopyHeard(IncarnationRegistry):
-    """Whoever comes under a member's name is listened to."""
+    """Accepts every incarnation that has a member's name."""
 
     def rejection_reason(self, name: str, life: Incarnation, claim: StartupClaim) -> str:
         return ""
 
 
 class GrowsWhenFull(Raft):
-    """A leader takes on what can wait though no majority has room for it."""
+    """Accepts commands that enlarge the state although the disks of a majority are full."""
 
     @property
-    def roomy(self) -> bool:
+    def majority_has_room(self) -> bool:
         return True
 
 
 class RefusalsAnswered(Raft):
-    """Each refusal is answered with entries."""
+    """Answers each rejection of an append with entries at once."""
 
-    def _appended(self, sender: str, message: Appended) -> None:
-        super()._appended(sender, message)
+    def _handle_append_response(self, sender: str, message: AppendResponse) -> None:
+        super()._handle_append_response(sender, message)
         if self.leader_state is not None and not message.ok and sender in self.leader_state.followers:
             follower = self.leader_state.followers[sender]
-            follower.next, follower.probing = message.match + 1, False
+            follower.next_index, follower.probing = message.match + 1, False
             self._send_entries(self.leader_state, sender)
 
 
 class EndsOneByOne(Raft):
-    """Each entry is written and sent by itself."""
+    """Writes and sends each entry by itself."""
 
-    def propose_all(self, now_us: int, some: list[tuple[int, bytes]], kind: int = COMMAND) -> list[Action]:
+    def propose_all(
+        self, now_us: int, proposals: list[tuple[int, bytes]], kind: int = COMMAND
+    ) -> list[Action]:
         return [
-            action for item in some for action in super(EndsOneByOne, self).propose_all(now_us, [item], kind)
+            action
+            for proposal in proposals
+            for action in super(EndsOneByOne, self).propose_all(now_us, [proposal], kind)
         ]
 
 
 class CountedFromAnswer(HeldLease):
-    """A lease counts from when its answer came."""
+    """Counts a lease from the arrival of its answer."""
 
-    def _counted_us(self, sent_us: int, heard_us: int) -> int:
-        return super()._counted_us(heard_us, heard_us)
+    def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
+        return super()._lease_end_us(heard_us, heard_us)
 
 
 class DriftOnce(HeldLease):
-    """Only one of the two clocks is thought to drift."""
+    """Allows for the drift of only one of the two clocks."""
 
-    def _counted_us(self, sent_us: int, heard_us: int) -> int:
-        return sent_us + int(self._ttl_us * (1 - self._bounds.drift))
+    def _lease_end_us(self, sent_us: int, heard_us: int) -> int:
+        return sent_us + int(self._ttl_us * (1 - self._bounds.max_drift))
 
 
 class LateRenewal(HeldLease):
-    """A renewal that comes when the lease is over brings it back."""
+    """Resumes an ended lease when a late renewal arrives."""
 
-    def _late(self, now_us: int) -> bool:
-        self._over = False
+    def _is_late(self, now_us: int) -> bool:
+        self._ended = False
         return False
 
 
 class CountedFromRepeat(RequestTiming):
-    """A lease counts from the last repeat of its request."""
+    """Counts a lease from the last repeat of its request."""
 
     def record_sent(self, now_us: int) -> None:
-        self._first_us = now_us
+        self._first_sent_us = now_us
 
 
 class NoFence(Fence):
-    """The resource lets everybody in."""
+    """Admits every token at the resource."""
 
     def admits(self, token: int) -> bool:
         return True
@@ -269,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bug:
-    """Where a bug is planted, and by which rules it may show."""
+    """The class in which a bug is planted, and the rules that it can break."""
 
     parts: Parts
     rules: tuple[str, ...]
