--- a/fleetlab/lab_run.py
+++ b/fleetlab/lab_run.py
@@ -42,7 +42,7 @@
     links_of_relays,
 )
 from fleetlab.settings import settings
-from membership.trace import TRACE, Seen
+from membership.trace import TRACE_FILE, ViewChange
 from standins import clients, records
 from standins.partner import Clock, Endpoint, Site
 from standins.platform import Entry, Platform
@@ -429,7 +429,7 @@
                 figures = msgspec.json.decode(path.read_bytes(), type=dict[str, float])
                 self.history(records.Measured(self._clock.now(), member.name, figures))
         for member in self.fleet.members.values():
-            for seen in lines_of(member.state / TRACE, Seen):
+            for seen in lines_of(member.state / TRACE_FILE, ViewChange):
                 at_s = seen.at_s - self._clock.start_s
                 self.history(
                     records.Viewed(at_s, member.name, seen.generation, seen.name, seen.state, seen.by)
--- a/fleetlab/lease_holder.py
+++ b/fleetlab/lease_holder.py
@@ -17,7 +17,7 @@
 from fleetlab.fenced_counter import Act
 from fleetlab.program import PORT, main
 from quorum.client import Client, LeaseKeeper, QuorumError
-from tomlconfig import Address, address_of
+from tomlconfig import Address, parse_address
 
 ACT_S = 0.02  # s between acts
 ANSWER_S = 1.0
@@ -69,11 +69,11 @@
 
 async def run(config: dict[str, Any]) -> None:
     """Take the lease again and again until the process ends."""
-    members = {name: address_of(text) for name, text in config["members"].items()}
+    members = {name: parse_address(text) for name, text in config["members"].items()}
     server = await asyncio.start_server(lambda _, writer: writer.close(), config["address"], PORT)
     ttl_ms, random = int(config["ttl_ms"]), Random()
     client = Client(members, config["name"])
-    task = Task(config["name"], config["lease"], address_of(config["resource"]))
+    task = Task(config["name"], config["lease"], parse_address(config["resource"]))
     opened = False
     async with server:
         while True:
--- a/fleetlab/lease_load.py
+++ b/fleetlab/lease_load.py
@@ -21,7 +21,7 @@
 from quorum.client import Client, QuorumError
 from quorum.monotonic_clock import now_us
 from quorum.state_machine import Done
-from tomlconfig import address_of
+from tomlconfig import parse_address
 
 FIGURES = "figures"
 ASK_S = 5.0
@@ -82,7 +82,7 @@
     """One of them."""
 
     def __init__(self, config: dict[str, Any], number: int, tally: Tally) -> None:
-        members = {name: address_of(text) for name, text in config["members"].items()}
+        members = {name: parse_address(text) for name, text in config["members"].items()}
         self._client, self._tally = Client(members, f"{config['name']}-{number}"), tally
         self._ttl_ms, self._hold_s = int(config["ttl_ms"]), int(config["hold_ms"]) / 1000
         one = config["lease"] == "one"
--- a/fleetlab/scale/counted_member.py
+++ b/fleetlab/scale/counted_member.py
@@ -27,7 +27,7 @@
 
         def noted(fleet: int, message: Message) -> bytes:
             data = encode(fleet, message)
-            head = wire.LENGTH.size if isinstance(message, Exchange) else 0
+            head = wire.LENGTH_PREFIX.size if isinstance(message, Exchange) else 0
             sent.write(f"{time.monotonic_ns() // 1000} {type(message).__name__} {head + len(data)}\n")
             return data
 
--- a/fleetlab/scale/simulated_load.py
+++ b/fleetlab/scale/simulated_load.py
@@ -5,7 +5,7 @@
 from fleetlab.scale.process import processor_seconds
 from fleetlab.scale.records import Reading, Source
 from fleetlab.sim.settled import SettledSim
-from membership.core import SECOND
+from membership.core import SECOND_US
 
 EXCHANGE = "Exchange"
 
@@ -30,7 +30,7 @@
     def readings(self, phase: str) -> list[Reading]:
         """Each figure begins with the phase; ``member_second`` means: a member that is up, and second."""
         sim = self._sim
-        seconds = (sim.world.now_us - self._begun_us) / SECOND
+        seconds = (sim.world.now_us - self._begun_us) / SECOND_US
         member_seconds = len(sim.cores()) * seconds
         processor_s = processor_seconds() - self._begun_s
         messages, sent_bytes = sim.sent - self._sent, sim.bytes - self._bytes
--- a/fleetlab/scale/simulated_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -16,7 +16,7 @@
 
 from fleetlab.scale.process import processor_seconds
 from fleetlab.sim.world import World
-from membership.core import SECOND
+from membership.core import SECOND_US
 from quorum import wire
 from quorum.member import Member, Output, Reply, Request, Response
 from quorum.messages import Message, Persist, RecoveredState, Send
@@ -27,7 +27,7 @@
 MEMBERS = ("quorum0", "quorum1", "quorum2")
 LEAST_DELAY_US, MOST_DELAY_US = 100, 1_000  # of a message
 SYNC_US = 1_000
-JOIN_US = SECOND  # over which holders begin
+JOIN_US = SECOND_US  # over which holders begin
 TTL_MS = 6_000
 RENEWALS_PER_TTL = 3  # as ``fleetlab.lease_load`` and ``quorum.holder`` have it
 
@@ -127,7 +127,7 @@
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
-        self.world.run(self.world.now_us + int(seconds * SECOND))
+        self.world.run(self.world.now_us + int(seconds * SECOND_US))
 
     def hold(self, holders: int) -> None:
         """Holders come, within a second, and keep a lease each."""
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -7,8 +7,8 @@
 from fleetlab.scale.simulated_load import Load
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import SettledSim
-from membership.core import Peers
-from membership.view_agreement import Fleet
+from membership.core import MembershipCore
+from membership.view_agreement import FleetTracker
 
 SETTLE_S, CALM_S = 15.0, 45.0  # simulated
 LOOKS = 20
@@ -48,13 +48,13 @@
     ]
 
 
-def standing_look_us(core: Peers) -> float:
+def standing_look_us(core: MembershipCore) -> float:
     """What a process spends, at each change of its view, on where it stands in its fleet."""
-    fleet = Fleet(core.me.name, 0)
+    fleet = FleetTracker(core.own_update.name, 0)
     begun_s = processor_seconds()
     for number in range(LOOKS):
-        view = sorted((held.update for held in core.held.values()), key=lambda update: update.name)
-        fleet.look(number, view, core.health)
+        view = sorted((held.update for held in core.members.values()), key=lambda update: update.name)
+        fleet.update(number, view, core.local_health)
     return 1e6 * (processor_seconds() - begun_s) / LOOKS
 
 
--- a/fleetlab/scale/subjects/members_faults.py
+++ b/fleetlab/scale/subjects/members_faults.py
@@ -10,7 +10,7 @@
 from fleetlab.scale.subject import Subject
 from fleetlab.scale.subjects.members import TARGET, memory_bytes
 from fleetlab.sim.settled import ZONES, SettledSim
-from membership.core import SECOND
+from membership.core import SECOND_US
 
 Play = Callable[[SettledSim], list[Reading]]
 SETTLE_S = 5.0  # simulated, as all times here
@@ -65,7 +65,7 @@
     sim.halve()
     halved = _until_halved(sim)
     cut = [Reading("cut_halved", float(halved)), *load.readings("cut")]
-    sim.run(max(0.0, CUT_S - (sim.world.now_us - begun_us) / SECOND))
+    sim.run(max(0.0, CUT_S - (sim.world.now_us - begun_us) / SECOND_US))
     load = Load(sim)
     sim.heal()
     found = agreed(sim, "healed", HEALED_S)
@@ -77,7 +77,7 @@
     half = len(sim.names) // 2
     for _ in range(int(CUT_S / STEP_S)):
         sim.run(STEP_S)
-        if all(len(core.live()) in (half, len(sim.names) - half) for core in sim.cores()):
+        if all(len(core.live_updates()) in (half, len(sim.names) - half) for core in sim.cores()):
             return True
     return False
 
--- a/fleetlab/sim/members.py
+++ b/fleetlab/sim/members.py
@@ -14,8 +14,8 @@
 
 from fleetlab.sim.node import SimNode
 from fleetlab.sim.world import Network, Weather, World
-from membership.core import SECOND, Peers, Settings
-from membership.messages import Changed, Exchange, Message, Out, Say, State, Update
+from membership.core import SECOND_US, MembershipCore, Settings
+from membership.messages import Exchange, Message, Output, SendMessage, State, StateChanged, Update
 
 DRIFT = 0.005
 
@@ -27,7 +27,7 @@
     members: int = 40
     settings: Settings = field(default_factory=Settings)
     weather: Weather = field(default_factory=lambda: Weather(lost=0.01, least_us=200, most_us=3_000))
-    core: type[Peers] = Peers
+    core: type[MembershipCore] = MembershipCore
     names: str = "m{}"  # a member's name and address, by its number
     zones: tuple[str, ...] = ("",)  # members are in each in turn
     first_generation: int = 1
@@ -41,7 +41,7 @@
     by_us: dict[str, int] = field(default_factory=dict)
 
 
-class Node(SimNode[Peers]):
+class Node(SimNode[MembershipCore]):
     """One member on its machine."""
 
     def __init__(self, sim: PeersSim, name: str, seeds: tuple[str, ...]) -> None:
@@ -54,7 +54,7 @@
         """Within the bound of drift."""
         return 1 + self.world.random.uniform(-DRIFT, DRIFT)
 
-    def create_core(self) -> Peers:
+    def create_core(self) -> MembershipCore:
         """A member that knows its seeds alone."""
         me = Update(self.name, self.name, self.zone, self.generation, 0, State.ALIVE)
         return self.sim.plan.core(
@@ -66,13 +66,13 @@
         """It goes without a word."""
         self.core = None
 
-    def carry_out(self, actions: list[Out]) -> None:
+    def carry_out(self, actions: list[Output]) -> None:
         """Send what it says, and note what it holds."""
         for item in actions:
             match item:
-                case Say():
-                    self.sim.said(self.name, item.to, item.message)
-                case Changed():
+                case SendMessage():
+                    self.sim.said(self.name, item.address, item.message)
+                case StateChanged():
                     self.sim.changed(self.name, item)
 
 
@@ -108,7 +108,7 @@
         if to in self.nodes:
             self.nodes[to].do(lambda core, now_us: core.receive(now_us, message))
 
-    def changed(self, name: str, event: Changed) -> None:
+    def changed(self, name: str, event: StateChanged) -> None:
         """A member holds another to be otherwise."""
         other = event.update.name
         if event.update.state is not State.FAILED:
@@ -130,7 +130,7 @@
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
-        self.world.run(self.world.now_us + int(seconds * SECOND))
+        self.world.run(self.world.now_us + int(seconds * SECOND_US))
 
     def kill(self, *names: str) -> None:
         """Some go without a word."""
@@ -143,10 +143,10 @@
         for name in names:
             self.nodes[name].start()
 
-    def stop_and_go(self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND) -> None:
+    def stop_and_go(self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND_US) -> None:
         """A member that runs so small a part of the time."""
         self.excused.add(name)
-        until_us = self.world.now_us + int(seconds * SECOND)
+        until_us = self.world.now_us + int(seconds * SECOND_US)
 
         def stall() -> None:
             if self.world.now_us < until_us:
@@ -186,9 +186,9 @@
     def until_agreed(self, most_s: float, step_s: float = 0.5) -> float | None:
         """Seconds until all agree; None where they do not in time."""
         begun_us = self.world.now_us
-        while self.world.now_us - begun_us <= most_s * SECOND:
+        while self.world.now_us - begun_us <= most_s * SECOND_US:
             if self.agreed():
-                return (self.world.now_us - begun_us) / SECOND
+                return (self.world.now_us - begun_us) / SECOND_US
             self.run(step_s)
         return None
 
@@ -199,9 +199,9 @@
         if any(other not in lost.by_us for other in up):
             return None
         times = [lost.by_us[other] - lost.at_us for other in up]
-        return min(times) / SECOND, max(times) / SECOND
+        return min(times) / SECOND_US, max(times) / SECOND_US
 
 
-def view_of(core: Peers) -> frozenset[tuple[str, int]]:
+def view_of(core: MembershipCore) -> frozenset[tuple[str, int]]:
     """The names and generations that a member holds to live."""
-    return frozenset((item.name, item.generation) for item in core.live())
+    return frozenset((item.name, item.generation) for item in core.live_updates())
--- a/membership/__main__.py
+++ b/membership/__main__.py
@@ -14,16 +14,19 @@
 
 from membership.config import Config, load
 from membership.generation import GenerationError, next_generation
-from membership.pages import View, pages
-from membership.trace import TRACE, traced
-from membership.transport import Shell
-from operatorpages import Pages
-from tomlconfig import ConfigError, address_of
+from membership.pages import View, build_pages
+from membership.trace import TRACE_FILE, trace_writer
+from membership.transport import MembershipService
+from operatorpages import PageServer
+from tomlconfig import ConfigError, parse_address
 
 LOG = logging.getLogger("membership")
 USAGE = "usage: python -m membership CONFIG | view CONFIG"
-REPLACED, WRONG = 3, 2  # exit codes: a later life goes under this name; the configuration or its use
-CALL_S = 2.0  # s for a page
+EXIT_REPLACED, EXIT_BAD_CONFIG = (
+    3,
+    2,
+)  # exit codes: a later life goes under this name; the configuration or its use
+PAGE_TIMEOUT_S = 2.0  # s for a page
 
 
 async def serve(config: Config) -> int:
@@ -33,12 +36,14 @@
         loop.add_signal_handler(number, over.set)
     folder = Path(config.folder)
     generation = next_generation(folder, time.time_ns() // 1_000_000)
-    shell = Shell(config, generation, traced(folder / TRACE, generation) if config.trace else lambda _: None)
+    shell = MembershipService(
+        config, generation, trace_writer(folder / TRACE_FILE, generation) if config.trace else lambda _: None
+    )
     await shell.start()
-    served = Pages(pages(shell))
+    served = PageServer(build_pages(shell))
     if config.operators:
-        await served.start(*address_of(config.operators))
-    LOG.info("%s, life %d, at %s", config.name, shell.core.me.generation, config.listen)
+        await served.start(*parse_address(config.operators))
+    LOG.info("%s, life %d, at %s", config.name, shell.core.own_update.generation, config.listen)
     ended = loop.create_task(over.wait())
     either: set[asyncio.Future[Any]] = {ended, shell.replaced}
     await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
@@ -51,15 +56,15 @@
     ended.cancel()
     served.stop()
     await shell.stop()
-    return REPLACED if replaced else 0
+    return EXIT_REPLACED if replaced else 0
 
 
 async def read_view(config: Config) -> View:
     """The view of the member that a configuration describes; ``OSError`` where nobody answers there."""
     if not config.operators:
         raise ConfigError("operators: the member has no such address")
-    host, port = address_of(config.operators)
-    async with asyncio.timeout(CALL_S):
+    host, port = parse_address(config.operators)
+    async with asyncio.timeout(PAGE_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(host, port)
         try:
             writer.write(b"GET /view HTTP/1.1\r\nHost: membership\r\n\r\n")
@@ -69,7 +74,7 @@
     return msgspec.json.decode(answer.partition(b"\r\n\r\n")[2], type=View)
 
 
-def told(view: View) -> str:
+def format_view(view: View) -> str:
     """A view in lines."""
     head = (
         f"{view.name}, life {view.generation}: {view.living} living, digest {view.digest}, {view.standing} "
@@ -89,18 +94,18 @@
     try:
         match arguments:
             case ["view", path]:
-                print(told(asyncio.run(read_view(load(Path(path))))))
+                print(format_view(asyncio.run(read_view(load(Path(path))))))
                 return 0
             case [path] if not path.startswith("-"):
                 return asyncio.run(serve(load(Path(path))))
     except (ConfigError, GenerationError) as error:
         print(error, file=sys.stderr)
-        return WRONG
+        return EXIT_BAD_CONFIG
     except (OSError, ValueError) as error:
         print(f"{arguments[-1]}: {str(error) or 'no answer in time'}", file=sys.stderr)
         return 1
     print(USAGE, file=sys.stderr)
-    return WRONG
+    return EXIT_BAD_CONFIG
 
 
 if __name__ == "__main__":
--- a/membership/config.py
+++ b/membership/config.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from membership.core import Settings
-from tomlconfig import ConfigError, check_address, read
+from tomlconfig import ConfigError, check_address, read_config
 
-MOST_NAME, MOST_SEEDS = 64, 64
+MAX_NAME_CHARS, MAX_SEEDS = 64, 64
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -41,23 +41,23 @@
         """The core's settings."""
         times = self.times
         return Settings(
-            period_us=times.period_ms * 1000,
-            ack_us=times.ack_ms * 1000,
-            gossip_us=times.gossip_ms * 1000,
-            exchange_us=times.exchange_ms * 1000,
-            again_us=times.again_ms * 1000,
+            probe_period_us=times.period_ms * 1000,
+            ack_timeout_us=times.ack_ms * 1000,
+            gossip_interval_us=times.gossip_ms * 1000,
+            exchange_interval_us=times.exchange_ms * 1000,
+            failed_probe_interval_us=times.again_ms * 1000,
         )
 
 
 def check(config: Config) -> None:
     """What types alone do not tell; ``ConfigError`` begins with the key."""
     for key in ("name", "fleet", "folder"):
-        if not 0 < len(getattr(config, key)) <= (MOST_NAME if key != "folder" else 4096):
-            raise ConfigError(f"{key}: from 1 to {MOST_NAME} characters")
-    if len(config.zone) > MOST_NAME:
-        raise ConfigError(f"zone: {MOST_NAME} characters at most")
-    if len(config.seeds) > MOST_SEEDS:
-        raise ConfigError(f"seeds: there are {len(config.seeds)}, and may be {MOST_SEEDS}")
+        if not 0 < len(getattr(config, key)) <= (MAX_NAME_CHARS if key != "folder" else 4096):
+            raise ConfigError(f"{key}: from 1 to {MAX_NAME_CHARS} characters")
+    if len(config.zone) > MAX_NAME_CHARS:
+        raise ConfigError(f"zone: {MAX_NAME_CHARS} characters at most")
+    if len(config.seeds) > MAX_SEEDS:
+        raise ConfigError(f"seeds: there are {len(config.seeds)}, and may be {MAX_SEEDS}")
     check_address("listen", config.listen)
     for text in config.seeds:
         check_address("seeds", text)
@@ -76,4 +76,4 @@
 
 def load(path: Path) -> Config:
     """A member's configuration file; ``ConfigError`` names file and key."""
-    return read(path, Config, check)
+    return read_config(path, Config, check)
--- a/membership/generation.py
+++ b/membership/generation.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-FILE = "generation"
+GENERATION_FILE = "generation"
 
 
 class GenerationError(ValueError):
@@ -18,7 +18,7 @@
     With the folder lost the clock alone puts it above former lives; with a clock set back the folder does.
     ``GenerationError`` names a file that cannot be read: a guess could let an old life speak for the new one.
     """
-    path, spare = folder / FILE, folder / f"{FILE}.new"
+    path, spare = folder / GENERATION_FILE, folder / f"{GENERATION_FILE}.new"
     try:
         last = int(path.read_text(encoding="ascii"))
     except FileNotFoundError:
--- a/membership/messages.py
+++ b/membership/messages.py
@@ -34,7 +34,7 @@
     by: str = ""  # who suspects it
 
     @property
-    def life(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """By which what is said of one member is ordered."""
         return self.generation, self.number
 
@@ -43,8 +43,8 @@
     """Is that life there? ``sender`` is the asker's address, to which the answer goes."""
 
     seq: int
-    name: str
-    sender: str
+    target_name: str
+    sender_address: str
     updates: tuple[Update, ...] = ()
 
 
@@ -59,9 +59,9 @@
     """Ping-req: ask that member in the sender's place; ``Ack``, or ``Nack`` where it does not answer."""
 
     seq: int
-    name: str
-    address: str
-    sender: str
+    target_name: str
+    target_address: str
+    sender_address: str
     updates: tuple[Update, ...] = ()
 
 
@@ -81,28 +81,28 @@
 class Exchange(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """All that is held, by a connection; ``answer`` asks for the same in return."""
 
-    sender: str
+    sender_address: str
     updates: tuple[Update, ...]
-    answer: bool
+    wants_reply: bool
 
 
 Message = Ping | Ack | AskFor | Nack | Gossip | Exchange
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """A message for an address; ``Exchange`` goes by a connection, all others by datagrams."""
 
-    to: str
+    address: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class StateChanged:
     """An event: what is held of a member is another now. Events are in order."""
 
     update: Update
-    before: State | None  # None: it was not known
+    previous_state: State | None  # None: it was not known
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,4 +112,4 @@
     update: Update
 
 
-Out = Say | Changed | Replaced
+Output = SendMessage | StateChanged | Replaced
--- a/membership/pages.py
+++ b/membership/pages.py
@@ -7,19 +7,19 @@
 
 import msgspec
 
-from membership.core import LIVE
+from membership.core import LIVE_STATES
 from membership.messages import State, Update
-from membership.transport import Shell
-from operatorpages import JSON, METRICS, Page, Serve
+from membership.transport import MembershipService
+from operatorpages import JSON_TYPE, METRICS_TYPE, Page, PageHandler
 
 
 def digest(view: Iterable[Update]) -> str:
     """The same at members that hold the same of who lives, and in which life."""
-    living = sorted((update.name, update.generation) for update in view if update.state in LIVE)
+    living = sorted((update.name, update.generation) for update in view if update.state in LIVE_STATES)
     return f"{zlib.crc32(repr(living).encode()):08x}"
 
 
-class Line(msgspec.Struct, frozen=True):
+class MemberLine(msgspec.Struct, frozen=True):
     """One member as a view tells it."""
 
     name: str
@@ -42,45 +42,45 @@
     settled: int  # members of that
     share_of: float  # relays that a limit is shared among, by this member
     late: int  # steps by which this member waits longer, by its own judgement
-    members: list[Line]
+    members: list[MemberLine]
 
 
-def view_of(shell: Shell, now_us: int) -> View:
+def build_view(shell: MembershipService, now_us: int) -> View:
     """What a member holds now."""
-    held, me = shell.core.held, shell.core.me
+    held, me = shell.core.members, shell.core.own_update
     lines = [
-        Line(
+        MemberLine(
             update.name, update.address, update.zone, update.generation, State(update.state).name.lower(),
             update.by, round((now_us - held[update.name].since_us) / 1e6, 3),
         )
         for update in shell.view()
     ]  # fmt: skip
-    fleet = shell.stands()
+    fleet = shell.update_fleet_tracker()
     return View(
-        me.name, me.generation, digest(shell.view()), shell.living, fleet.standing.value, len(fleet.settled),
-        round(fleet.size(now_us), 2), shell.core.health, lines,
+        me.name, me.generation, digest(shell.view()), shell.live_count, fleet.standing.value, len(fleet.settled),
+        round(fleet.share_count(now_us), 2), shell.core.local_health, lines,
     )  # fmt: skip
 
 
-def metrics(shell: Shell) -> bytes:
+def format_metrics(shell: MembershipService) -> bytes:
     """The counts in Prometheus' text form."""
-    lines = [f"peers_living {shell.living}", f"peers_late_steps {shell.core.health}"]
+    lines = [f"peers_living {shell.live_count}", f"peers_late_steps {shell.core.local_health}"]
     lines += [f"peers_{name}_total {count}" for name, count in sorted(shell.counts.items())]
     return "".join(f"{line}\n" for line in lines).encode()
 
 
-def pages(shell: Shell) -> dict[str, Serve]:
+def build_pages(shell: MembershipService) -> dict[str, PageHandler]:
     """The pages by path."""
 
     def view() -> Page:
-        return Page(200, msgspec.json.encode(view_of(shell, shell.now_us())) + b"\n", JSON)
+        return Page(200, msgspec.json.encode(build_view(shell, shell.now_us())) + b"\n", JSON_TYPE)
 
     def history() -> Page:
-        return Page(200, b"".join(msgspec.json.encode(item) + b"\n" for item in shell.history), JSON)
+        return Page(200, b"".join(msgspec.json.encode(item) + b"\n" for item in shell.history), JSON_TYPE)
 
     return {
         "/health": lambda: Page(503 if shell.replaced.done() else 200, b"\n"),
         "/view": view,
         "/history": history,
-        "/metrics": lambda: Page(200, metrics(shell), METRICS),
+        "/metrics": lambda: Page(200, format_metrics(shell), METRICS_TYPE),
     }
--- a/membership/trace.py
+++ b/membership/trace.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from membership.messages import Changed
+from membership.messages import StateChanged
 
-TRACE = "views.jsonl"
+TRACE_FILE = "views.jsonl"
 
 
-class Seen(msgspec.Struct, frozen=True):
+class ViewChange(msgspec.Struct, frozen=True):
     """A change of a view as it is written down; all processes of a machine share the clock."""
 
     at_s: float
@@ -23,13 +23,13 @@
     by: str
 
 
-def traced(path: Path, generation: int) -> Callable[[Changed], None]:
+def trace_writer(path: Path, generation: int) -> Callable[[StateChanged], None]:
     """Write each change of the view behind the others."""
     file = path.open("ab", buffering=0)
 
-    def changed(change: Changed) -> None:
+    def changed(change: StateChanged) -> None:
         update = change.update
-        seen = Seen(time.monotonic(), generation, update.name, update.state.name.lower(), update.by)
+        seen = ViewChange(time.monotonic(), generation, update.name, update.state.name.lower(), update.by)
         file.write(msgspec.json.encode(seen) + b"\n")
 
     return changed
--- a/membership/transport.py
+++ b/membership/transport.py
@@ -14,52 +14,54 @@
 
 from membership import wire
 from membership.config import Config
-from membership.core import LIVE, Peers
-from membership.messages import Changed, Exchange, Message, Out, Replaced, Say, State, Update
-from membership.view_agreement import Fleet
-from tomlconfig import Address, address_of
+from membership.core import LIVE_STATES, MembershipCore
+from membership.messages import Exchange, Message, Output, Replaced, SendMessage, State, StateChanged, Update
+from membership.view_agreement import FleetTracker
+from tomlconfig import Address, parse_address
 
 LOG = logging.getLogger("membership")
-MOST_SENDERS = 4096  # whose rates are known
-RATE_PER_S, BURST = 200.0, 400.0  # datagrams of one sender
-MOST_CALLS, MOST_CALLERS = 8, 64  # exchanges that go out, and that come in, at once
-CALL_S = 2.0  # s for a whole exchange
-MOST_HISTORY = 1024  # changes that operators can read
+MAX_SENDERS = 4096  # whose rates are known
+MAX_DATAGRAMS_PER_S, MAX_DATAGRAM_BURST = 200.0, 400.0  # datagrams of one sender
+MAX_OUTGOING_EXCHANGES, MAX_INCOMING_EXCHANGES = 8, 64  # exchanges that go out, and that come in, at once
+EXCHANGE_TIMEOUT_S = 2.0  # s for a whole exchange
+MAX_HISTORY = 1024  # changes that operators can read
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """What one sender may still send."""
 
-    left: float
-    at_s: float
+    tokens: float
+    refilled_s: float
 
 
-class Rates:
+class SenderRateLimiter:
     """Datagrams that are taken, by sender; the one heard of longest ago is forgotten for a new one."""
 
-    def __init__(self, per_s: float = RATE_PER_S, burst: float = BURST, most: int = MOST_SENDERS) -> None:
-        self._per_s, self._burst, self._most = per_s, burst, most
-        self._buckets: OrderedDict[Address, Bucket] = OrderedDict()
+    def __init__(
+        self, per_s: float = MAX_DATAGRAMS_PER_S, burst: float = MAX_DATAGRAM_BURST, most: int = MAX_SENDERS
+    ) -> None:
+        self._tokens_per_s, self._burst, self._max_senders = per_s, burst, most
+        self._buckets: OrderedDict[Address, TokenBucket] = OrderedDict()
 
-    def take(self, sender: Address, now_s: float) -> bool:
+    def allow(self, sender: Address, now_s: float) -> bool:
         """Whether one more of this sender is within its rate."""
         bucket = self._buckets.get(sender)
         if bucket is None:
-            bucket = self._buckets[sender] = Bucket(self._burst, now_s)
-            if len(self._buckets) > self._most:
+            bucket = self._buckets[sender] = TokenBucket(self._burst, now_s)
+            if len(self._buckets) > self._max_senders:
                 self._buckets.popitem(last=False)
         self._buckets.move_to_end(sender)
-        bucket.left = min(self._burst, bucket.left + (now_s - bucket.at_s) * self._per_s)
-        bucket.at_s = now_s
-        if bucket.left < 1:
+        bucket.tokens = min(self._burst, bucket.tokens + (now_s - bucket.refilled_s) * self._tokens_per_s)
+        bucket.refilled_s = now_s
+        if bucket.tokens < 1:
             return False
-        bucket.left -= 1
+        bucket.tokens -= 1
         return True
 
 
 @dataclass(frozen=True, slots=True)
-class Happened:
+class HistoryEntry:
     """A change of the view, as operators read it."""
 
     wall_s: float
@@ -70,29 +72,29 @@
     by: str
 
 
-class Shell(asyncio.DatagramProtocol):
+class MembershipService(asyncio.DatagramProtocol):
     """One member in one process."""
 
     def __init__(
-        self, config: Config, generation: int, changed: Callable[[Changed], None] = lambda _: None
+        self, config: Config, generation: int, changed: Callable[[StateChanged], None] = lambda _: None
     ) -> None:
         """``changed`` is told of each change of the view, in order."""
-        self._config, self._changed = config, changed
-        self._fleet = wire.mark(config.fleet)
+        self._config, self._on_change = config, changed
+        self._fleet_hash = wire.hash_fleet_name(config.fleet)
         me = Update(config.name, config.listen, config.zone, generation, 0, State.ALIVE)
         self._loop = asyncio.get_running_loop()
-        self.core = Peers(
+        self.core = MembershipCore(
             me, tuple(config.seeds), settings=config.settings, random=Random(), now_us=self.now_us()
         )
-        self._rates = Rates()
+        self._rate_limiter = SenderRateLimiter()
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
-        self._calls: set[asyncio.Task[None]] = set()
-        self._callers: set[asyncio.StreamWriter] = set()
-        self.history: deque[Happened] = deque(maxlen=MOST_HISTORY)
+        self._outgoing_exchanges: set[asyncio.Task[None]] = set()
+        self._incoming_connections: set[asyncio.StreamWriter] = set()
+        self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY)
         self.counts: Counter[str] = Counter()
-        self._standing = Fleet(config.name, self.now_us())
+        self._fleet_tracker = FleetTracker(config.name, self.now_us())
         self.replaced: asyncio.Future[Update] = self._loop.create_future()  # by a later life of the same name
 
     @staticmethod
@@ -102,8 +104,8 @@
 
     async def start(self) -> None:
         """Listen for datagrams and connections; ``OSError`` where the address cannot be had."""
-        host, port = address_of(self._config.listen)
-        self._server = await asyncio.start_server(self._connected, host, port)
+        host, port = parse_address(self._config.listen)
+        self._server = await asyncio.start_server(self._handle_connection, host, port)
         try:
             self._transport, _ = await self._loop.create_datagram_endpoint(
                 lambda: self, local_addr=(host, port)
@@ -119,11 +121,11 @@
             self._perform(self.core.leave(self.now_us()))
         if self._timer is not None:
             self._timer.cancel()
-        for task in list(self._calls):
+        for task in list(self._outgoing_exchanges):
             task.cancel()
         if self._server is not None:
             self._server.close()
-        for writer in list(self._callers):
+        for writer in list(self._incoming_connections):
             writer.transport.abort()
         if self._transport is not None:
             self._transport.close()
@@ -133,19 +135,19 @@
     def _wake(self) -> None:
         self._perform(self.core.wake(self.now_us()))
 
-    def _heard(self, message: Message) -> None:
+    def _receive(self, message: Message) -> None:
         self._perform(self.core.receive(self.now_us(), message))
 
-    def _perform(self, outs: list[Out]) -> None:
+    def _perform(self, outs: list[Output]) -> None:
         """Carry out what the core wants, and ask for its next turn."""
         for out in outs:
             match out:
-                case Say(to, Exchange() as message):
-                    self._call(to, message)
-                case Say(to, message):
+                case SendMessage(to, Exchange() as message):
+                    self._start_exchange(to, message)
+                case SendMessage(to, message):
                     self._send(to, message)
-                case Changed():
-                    self._note(out)
+                case StateChanged():
+                    self._record_change(out)
                 case Replaced():
                     if not self.replaced.done():
                         self.replaced.set_result(out.update)
@@ -153,20 +155,22 @@
             self._timer.cancel()
         self._timer = self._loop.call_later(max(0, self.core.due_us - self.now_us()) / 1e6, self._wake)
 
-    def _note(self, change: Changed) -> None:
-        update, before = change.update, change.before
+    def _record_change(self, change: StateChanged) -> None:
+        update, before = change.update, change.previous_state
         was = "" if before is None else before.name.lower()
         self.history.append(
-            Happened(time.time(), update.name, update.generation, update.state.name.lower(), was, update.by)
+            HistoryEntry(
+                time.time(), update.name, update.generation, update.state.name.lower(), was, update.by
+            )
         )
         by = f" by the word of {update.by}" if update.by else ""
-        self.stands()
+        self.update_fleet_tracker()
         LOG.info("%s is %s%s, was %s", update.name, update.state.name.lower(), by, was or "unknown")
-        self._changed(change)
+        self._on_change(change)
 
-    def _reached(self, told: str) -> Address:
+    def _reachable_address(self, told: str) -> Address:
         """Where a member's address is reached from here."""
-        return address_of(self._config.reach.get(told, told))
+        return parse_address(self._config.reach.get(told, told))
 
     # Datagrams
 
@@ -174,7 +178,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         try:
-            self._transport.sendto(wire.encode(self._fleet, message), self._reached(to))
+            self._transport.sendto(wire.encode(self._fleet_hash, message), self._reachable_address(to))
             self.counts["datagrams_sent"] += 1
         except (OSError, ValueError) as error:
             self.counts["datagrams_not_sent"] += 1
@@ -182,19 +186,19 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """What cannot be read is counted, never answered, and changes nothing."""
-        if not self._rates.take((str(addr[0]), int(addr[1])), self._loop.time()):
+        if not self._rate_limiter.allow((str(addr[0]), int(addr[1])), self._loop.time()):
             self.counts["datagrams_over_rate"] += 1
             return
-        self._read(data, "datagrams")
+        self._receive_bytes(data, "datagrams")
 
-    def _read(self, data: bytes, what: str) -> None:
+    def _receive_bytes(self, data: bytes, what: str) -> None:
         try:
-            message = wire.decode(self._fleet, data)
+            message = wire.decode(self._fleet_hash, data)
         except wire.WireError as error:
             self.counts[f"{what}_unreadable_{str(error).split()[0].strip(':')}"] += 1
             return
         self.counts[f"{what}_taken"] += 1
-        self._heard(message)
+        self._receive(message)
 
     def error_received(self, exc: Exception) -> None:
         """An address that refuses: the probe's own time tells."""
@@ -202,21 +206,21 @@
 
     # Exchanges
 
-    def _call(self, to: str, message: Exchange) -> None:
-        if len(self._calls) >= MOST_CALLS:
+    def _start_exchange(self, to: str, message: Exchange) -> None:
+        if len(self._outgoing_exchanges) >= MAX_OUTGOING_EXCHANGES:
             self.counts["exchanges_not_sent"] += 1
             return
-        self._calls.add(task := self._loop.create_task(self._exchange(to, message)))
-        task.add_done_callback(self._calls.discard)
+        self._outgoing_exchanges.add(task := self._loop.create_task(self._send_exchange(to, message)))
+        task.add_done_callback(self._outgoing_exchanges.discard)
 
-    async def _exchange(self, to: str, message: Exchange) -> None:
+    async def _send_exchange(self, to: str, message: Exchange) -> None:
         """One whole view to one member, on a connection of its own."""
-        data = wire.encode(self._fleet, message)
+        data = wire.encode(self._fleet_hash, message)
         try:
-            async with asyncio.timeout(CALL_S):
-                _, writer = await asyncio.open_connection(*self._reached(to))
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                _, writer = await asyncio.open_connection(*self._reachable_address(to))
                 try:
-                    writer.write(wire.LENGTH.pack(len(data)) + data)
+                    writer.write(wire.LENGTH_PREFIX.pack(len(data)) + data)
                     await writer.drain()
                 finally:
                     writer.close()
@@ -227,37 +231,37 @@
             self.counts["exchanges_not_sent"] += 1
             LOG.debug("no exchange with %s: %r", to, error)
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._callers) >= MOST_CALLERS:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._incoming_connections) >= MAX_INCOMING_EXCHANGES:
             self.counts["exchanges_over_bound"] += 1
             writer.transport.abort()
             return
-        self._callers.add(writer)
+        self._incoming_connections.add(writer)
         try:
-            async with asyncio.timeout(CALL_S):
-                (length,) = wire.LENGTH.unpack(await reader.readexactly(wire.LENGTH.size))
-                if length > wire.MOST_FRAME:
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                (length,) = wire.LENGTH_PREFIX.unpack(await reader.readexactly(wire.LENGTH_PREFIX.size))
+                if length > wire.MAX_FRAME_BYTES:
                     raise ValueError(f"{length} bytes")
                 data = await reader.readexactly(length)
-            self._read(data, "exchanges")
+            self._receive_bytes(data, "exchanges")
         except (OSError, TimeoutError, ValueError, EOFError):
             self.counts["exchanges_unreadable"] += 1
         finally:
-            self._callers.discard(writer)
+            self._incoming_connections.discard(writer)
             writer.close()
 
     # What operators read
 
     def view(self) -> list[Update]:
         """Everybody that is held, by name."""
-        return sorted((held.update for held in self.core.held.values()), key=lambda update: update.name)
+        return sorted((held.update for held in self.core.members.values()), key=lambda update: update.name)
 
-    def stands(self) -> Fleet:
+    def update_fleet_tracker(self) -> FleetTracker:
         """Where this member stands in its fleet now."""
-        self._standing.look(self.now_us(), self.view(), self.core.health)
-        return self._standing
+        self._fleet_tracker.update(self.now_us(), self.view(), self.core.local_health)
+        return self._fleet_tracker
 
     @property
-    def living(self) -> int:
+    def live_count(self) -> int:
         """Members that are alive or suspect, this one included."""
-        return sum(update.state in LIVE for update in self.view())
+        return sum(update.state in LIVE_STATES for update in self.view())
--- a/membership/wire.py
+++ b/membership/wire.py
@@ -13,11 +13,11 @@
 
 from membership.messages import Exchange, Message
 
-MOST_DATAGRAM = 1_400  # bytes
-MOST_FRAME = 1 << 20  # bytes of a whole exchange
+MAX_DATAGRAM_BYTES = 1_400  # bytes
+MAX_FRAME_BYTES = 1 << 20  # bytes of a whole exchange
 MAGIC, VERSION = b"mp", 1
-HEAD = struct.Struct("!2sBI")  # magic, version, fleet
-LENGTH = struct.Struct("!I")
+HEADER = struct.Struct("!2sBI")  # magic, version, fleet
+LENGTH_PREFIX = struct.Struct("!I")
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
 
@@ -25,7 +25,7 @@
     """Bytes that are no message; the first word tells the kind for the counters."""
 
 
-def mark(fleet: str) -> int:
+def hash_fleet_name(fleet: str) -> int:
     """By which members tell another fleet's messages from their own."""
     return zlib.crc32(fleet.encode())
 
@@ -33,8 +33,8 @@
 def encode(fleet: int, message: Message) -> bytes:
     """A message's bytes; the last of its news are left out of a datagram that would be too long."""
     while True:
-        data = HEAD.pack(MAGIC, VERSION, fleet) + _ENCODER.encode(message)
-        if isinstance(message, Exchange) or len(data) <= MOST_DATAGRAM:
+        data = HEADER.pack(MAGIC, VERSION, fleet) + _ENCODER.encode(message)
+        if isinstance(message, Exchange) or len(data) <= MAX_DATAGRAM_BYTES:
             return data
         if not message.updates:
             raise WireError(f"long: {len(data)} bytes without any news")
@@ -43,9 +43,9 @@
 
 def decode(fleet: int, data: bytes) -> Message:
     """The message that bytes are; ``WireError`` where they are none."""
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise WireError("short")
-    magic, version, of = HEAD.unpack_from(data)
+    magic, version, of = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise WireError("garbage")
     if version != VERSION:
@@ -53,6 +53,6 @@
     if of != fleet:
         raise WireError("fleet")
     try:
-        return _DECODER.decode(data[HEAD.size :])
+        return _DECODER.decode(data[HEADER.size :])
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
         raise WireError(f"garbage: {error}") from None
--- a/operatorpages/__init__.py
+++ b/operatorpages/__init__.py
@@ -8,11 +8,15 @@
 
 import h11
 
-MOST_CALLERS = 64
-CALL_S = 2.0  # s for a whole call
-MOST_HEAD = 8 * 1024  # bytes
-CHUNK = 16 * 1024
-TEXT, JSON, METRICS = "text/plain; charset=utf-8", "application/json", "text/plain; version=0.0.4"
+MAX_CONNECTIONS = 64
+CALL_TIMEOUT_S = 2.0  # s for a whole call
+MAX_HEAD_BYTES = 8 * 1024  # bytes
+READ_CHUNK_BYTES = 16 * 1024
+TEXT_TYPE, JSON_TYPE, METRICS_TYPE = (
+    "text/plain; charset=utf-8",
+    "application/json",
+    "text/plain; version=0.0.4",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,23 +25,23 @@
 
     status: int
     body: bytes
-    kind: str = TEXT
+    content_type: str = TEXT_TYPE
 
 
-Serve = Callable[[], Page | Awaitable[Page]]
+PageHandler = Callable[[], Page | Awaitable[Page]]
 
 
-class Pages:
+class PageServer:
     """A server of pages by path; only ``GET`` is known, whatever changes something has a way of its own."""
 
-    def __init__(self, pages: Mapping[str, Serve]) -> None:
+    def __init__(self, pages: Mapping[str, PageHandler]) -> None:
         self._pages = dict(pages)
         self._server: asyncio.Server | None = None
-        self._callers: set[asyncio.StreamWriter] = set()
+        self._connections: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str, port: int) -> tuple[str, int]:
         """Listen; where it does. ``OSError`` where that address cannot be had."""
-        self._server = await asyncio.start_server(self._connected, host, port, limit=MOST_HEAD)
+        self._server = await asyncio.start_server(self._handle_connection, host, port, limit=MAX_HEAD_BYTES)
         name = self._server.sockets[0].getsockname()
         return str(name[0]), int(name[1])
 
@@ -45,33 +49,33 @@
         """End, and break off who is here."""
         if self._server is not None:
             self._server.close()
-        for writer in list(self._callers):
+        for writer in list(self._connections):
             writer.transport.abort()
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._callers) >= MOST_CALLERS:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._connections) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._callers.add(writer)
+        self._connections.add(writer)
         try:
-            async with asyncio.timeout(CALL_S):
-                await self._call(reader, writer)
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                await self._answer_request(reader, writer)
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
-            self._callers.discard(writer)
+            self._connections.discard(writer)
             writer.close()
 
-    async def _call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+    async def _answer_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
-            page = await self._page(http, reader)
+            page = await self._read_request(http, reader)
         except h11.RemoteProtocolError as error:
             page = Page(error.error_status_hint, f"{error}\n".encode())
         if page is None or http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = [
-            ("content-type", page.kind),
+            ("content-type", page.content_type),
             ("content-length", str(len(page.body))),
             ("connection", "close"),
         ]
@@ -79,10 +83,10 @@
         writer.write(http.send(h11.Data(data=page.body)) or b"")
         await writer.drain()
 
-    async def _page(self, http: h11.Connection, reader: asyncio.StreamReader) -> Page | None:
+    async def _read_request(self, http: h11.Connection, reader: asyncio.StreamReader) -> Page | None:
         """The page of the request that comes; None where none does."""
         while (event := http.next_event()) is h11.NEED_DATA:
-            http.receive_data(await reader.read(CHUNK))
+            http.receive_data(await reader.read(READ_CHUNK_BYTES))
         if not isinstance(event, h11.Request):
             return None
         path = event.target.decode("ascii", "replace").partition("?")[0]
--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -22,7 +22,7 @@
 from quorum.service_logging import configure_logging
 from quorum.state_machine import prepare_restored_state
 from quorum.store import StoreError, replace_file, restore
-from tomlconfig import Address, ConfigError, address_of
+from tomlconfig import Address, ConfigError, parse_address
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 ConfigFile = Annotated[Path, typer.Argument(metavar="CONFIG", help="The TOML file of any member.")]
@@ -48,7 +48,7 @@
 
 def member_addresses(path: Path) -> dict[str, Address]:
     """Return the members' addresses from a configuration file."""
-    return {name: address_of(text) for name, text in load(path).members.items()}
+    return {name: parse_address(text) for name, text in load(path).members.items()}
 
 
 @app.command()
--- a/quorum/config.py
+++ b/quorum/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tomlconfig import Address, ConfigError, address_of, check_address, read
+from tomlconfig import Address, ConfigError, check_address, parse_address, read_config
 
 MAX_MEMBERS = 9  # current and future ones in the table of addresses
 MAX_RESERVE_KB = 1024 * 1024  # 1 GiB
@@ -40,12 +40,12 @@
     @property
     def listen_address(self) -> Address:
         """The address for members and clients."""
-        return address_of(self.listen)
+        return parse_address(self.listen)
 
     @property
     def others(self) -> dict[str, Address]:
         """The addresses of all other members."""
-        return {name: address_of(text) for name, text in self.members.items() if name != self.name}
+        return {name: parse_address(text) for name, text in self.members.items() if name != self.name}
 
 
 def check(config: Config) -> None:
@@ -73,4 +73,4 @@
 
 def load(path: Path) -> Config:
     """Read a member's configuration file; raises ``ConfigError``, which names the file and key."""
-    return read(path, Config, check)
+    return read_config(path, Config, check)
--- a/quorum/server.py
+++ b/quorum/server.py
@@ -16,7 +16,7 @@
 import msgspec
 import structlog
 
-from operatorpages import JSON, METRICS, Page, Pages
+from operatorpages import JSON_TYPE, METRICS_TYPE, Page, PageServer
 from quorum import wire
 from quorum.config import Config
 from quorum.incarnations import IncarnationRegistry, StartupClaim
@@ -38,7 +38,7 @@
     WireError,
     encode_frame,
 )
-from tomlconfig import Address, address_of
+from tomlconfig import Address, parse_address
 
 LOG = structlog.get_logger("quorum")
 # Messages queued for a member that does not read them. Beyond that the oldest is dropped, since Raft
@@ -165,13 +165,13 @@
         self._server: asyncio.Server | None = None
         self._last_leader_and_term = ("", 0)
         self._metrics = ServerMetrics(lambda: self.health(0))
-        self._pages = Pages(
+        self._pages = PageServer(
             {
                 "/health": lambda: Page(200, b"up\n"),
                 "/ready": self._ready_page,
-                "/status": lambda: Page(200, msgspec.json.encode(self.health(0)) + b"\n", JSON),
-                "/leases": lambda: Page(200, msgspec.json.encode(self._list_leases(0)) + b"\n", JSON),
-                "/metrics": lambda: Page(200, self._metrics.page(), METRICS),
+                "/status": lambda: Page(200, msgspec.json.encode(self.health(0)) + b"\n", JSON_TYPE),
+                "/leases": lambda: Page(200, msgspec.json.encode(self._list_leases(0)) + b"\n", JSON_TYPE),
+                "/metrics": lambda: Page(200, self._metrics.page(), METRICS_TYPE),
             }
         )
 
@@ -181,7 +181,7 @@
             self._handle_connection, *self._config.listen_address, backlog=ACCEPT_BACKLOG
         )
         if self._config.operators:
-            await self._pages.start(*address_of(self._config.operators))
+            await self._pages.start(*parse_address(self._config.operators))
         self._update_peers(self._config)
         self._spawn(self._write_loop())
         self._arm_timer()
--- a/sweeper/__main__.py
+++ b/sweeper/__main__.py
@@ -14,7 +14,7 @@
 from quorum.commands import run_command_line, stop_event
 from quorum.service_logging import configure_logging
 from sweeper.config import Config, load
-from sweeper.sweeper import Sweeper, shown, summaries_of, tasks_of
+from sweeper.sweeper import Sweeper, assign_relays_to_tasks, fleet_summary, read_summaries
 from tomlconfig import ConfigError
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
@@ -37,12 +37,12 @@
 def summary(config: Annotated[Path, typer.Argument(help="The TOML file of any sweeper.")]) -> None:
     """What the sweeper has found, as JSON; 1 where the quorum does not tell."""
     loaded = load(config)
-    tasks = tasks_of(loaded.relays)
+    tasks = assign_relays_to_tasks(loaded.relays)
 
     async def ask() -> dict[str, object]:
         client = Client(loaded.quorum, loaded.name)
         try:
-            return shown(await summaries_of(client, tasks))
+            return fleet_summary(await read_summaries(client, tasks))
         finally:
             client.close()
 
--- a/sweeper/config.py
+++ b/sweeper/config.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from quorum.state_machine import MAX_TTL_MS, MIN_TTL_MS
-from sweeper.summary import MOST_IN_RECORD, MOST_NAME, MOST_RELAYS, slices_of
-from tomlconfig import Address, ConfigError, address_of, check_address, read
+from sweeper.summary import MAX_NAME_BYTES, MAX_RELAYS, MAX_RELAYS_PER_RECORD, split_into_slices
+from tomlconfig import Address, ConfigError, check_address, parse_address, read_config
 
-MOST_PACE_PER_S = 200.0
+MAX_PACE_PER_S = 200.0
 
 
 class Config(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -28,22 +28,24 @@
     @property
     def quorum(self) -> dict[str, Address]:
         """The members' addresses."""
-        return {name: address_of(text) for name, text in self.members.items()}
+        return {name: parse_address(text) for name, text in self.members.items()}
 
 
 def check(config: Config) -> None:
     """What types alone do not tell; ``ConfigError`` begins with the key."""
     if not config.name or not config.members:
         raise ConfigError("name, members: they may not be empty")
-    if len(config.relays) > MOST_RELAYS:
-        raise ConfigError(f"relays: there are {len(config.relays)}, and may be {MOST_RELAYS}")
-    if (most := max(map(len, slices_of(config.relays)))) > MOST_IN_RECORD:
-        raise ConfigError(f"relays: {most} have names that fall to one record, which holds {MOST_IN_RECORD}")
+    if len(config.relays) > MAX_RELAYS:
+        raise ConfigError(f"relays: there are {len(config.relays)}, and may be {MAX_RELAYS}")
+    if (most := max(map(len, split_into_slices(config.relays)))) > MAX_RELAYS_PER_RECORD:
+        raise ConfigError(
+            f"relays: {most} have names that fall to one record, which holds {MAX_RELAYS_PER_RECORD}"
+        )
     for name in config.relays:
-        if len(name.encode()) > MOST_NAME:
-            raise ConfigError(f"relays: {name!r} is over {MOST_NAME} bytes")
-    if not 0 < config.pace_per_s <= MOST_PACE_PER_S:
-        raise ConfigError(f"pace_per_s: {config.pace_per_s} is not above 0 and up to {MOST_PACE_PER_S:.0f}")
+        if len(name.encode()) > MAX_NAME_BYTES:
+            raise ConfigError(f"relays: {name!r} is over {MAX_NAME_BYTES} bytes")
+    if not 0 < config.pace_per_s <= MAX_PACE_PER_S:
+        raise ConfigError(f"pace_per_s: {config.pace_per_s} is not above 0 and up to {MAX_PACE_PER_S:.0f}")
     if not MIN_TTL_MS <= config.ttl_ms <= MAX_TTL_MS:
         raise ConfigError(f"ttl_ms: {config.ttl_ms} is not from {MIN_TTL_MS} to {MAX_TTL_MS}")
     for key, value in (("timeout_ms", config.timeout_ms), ("pause_ms", config.pause_ms)):
@@ -58,4 +60,4 @@
 
 def load(path: Path) -> Config:
     """A sweeper's configuration file; ``ConfigError`` names file and key."""
-    return read(path, Config, check)
+    return read_config(path, Config, check)
--- a/sweeper/summary.py
+++ b/sweeper/summary.py
@@ -12,18 +12,21 @@
 
 import msgspec
 
-MOST_IN_RECORD, MOST_NAME = 200, 24  # so many relays, with names so long, fit one record of the quorum
-SLICES = 16  # records of a fleet that one does not hold, each kept by a task of its own
-MOST_RELAYS = 2_048  # of which a slice gets 128 in the mean
-MOST_FIGURES = 14  # of a relay: the classes' and some of its own
-MOST_WHY = 60  # characters
+MAX_RELAYS_PER_RECORD, MAX_NAME_BYTES = (
+    200,
+    24,
+)  # so many relays, with names so long, fit one record of the quorum
+SLICE_COUNT = 16  # records of a fleet that one does not hold, each kept by a task of its own
+MAX_RELAYS = 2_048  # of which a slice gets 128 in the mean
+MAX_FIGURES = 14  # of a relay: the classes' and some of its own
+MAX_WHY_CHARS = 60  # characters
 
 
 class FiguresError(ValueError):
     """What a relay answered are no figures."""
 
 
-class Seen(msgspec.Struct, array_like=True):
+class RelayReading(msgspec.Struct, array_like=True):
     """One relay, as it was read last."""
 
     at_s: float = 0.0  # wall clock, of the last reading that brought figures; 0: none yet
@@ -39,18 +42,18 @@
     position: str = ""  # the relay that was read last in this round
     readings: int = 0
     names: list[str] = []  # of figures; counts end with |c, others with |g
-    relays: dict[str, Seen] = {}
+    relays: dict[str, RelayReading] = {}
 
 
 _ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Summary)
 
 
-def packed(summary: Summary) -> bytes:
+def encode_summary(summary: Summary) -> bytes:
     """As it stands in the record."""
     return _ENCODER.encode(summary)
 
 
-def opened(data: bytes) -> Summary:
+def decode_summary(data: bytes) -> Summary:
     """From the record; a first one where there is none or it cannot be read."""
     try:
         return _DECODER.decode(data) if data else Summary()
@@ -58,7 +61,7 @@
         return Summary()
 
 
-def figures_of(body: bytes) -> dict[str, int]:
+def parse_figures(body: bytes) -> dict[str, int]:
     """A relay's figures by name and kind; ``FiguresError`` where they are none."""
     found = dict[str, int]()
     for line in body.decode("ascii", "replace").split():
@@ -73,18 +76,18 @@
     return found
 
 
-def slices_of(relays: Iterable[str]) -> list[list[str]]:
+def split_into_slices(relays: Iterable[str]) -> list[list[str]]:
     """The relays of each record: all in one, or by their names, so that none moves when others come."""
     names = sorted(relays)
-    if len(names) <= MOST_IN_RECORD:
+    if len(names) <= MAX_RELAYS_PER_RECORD:
         return [names]
-    slices: list[list[str]] = [[] for _ in range(SLICES)]
+    slices: list[list[str]] = [[] for _ in range(SLICE_COUNT)]
     for name in names:
-        slices[zlib.crc32(name.encode()) % SLICES].append(name)
+        slices[zlib.crc32(name.encode()) % SLICE_COUNT].append(name)
     return slices
 
 
-def following(summary: Summary, relays: list[str], most: int) -> tuple[list[str], bool]:
+def next_relays(summary: Summary, relays: list[str], most: int) -> tuple[list[str], bool]:
     """The next relays to be read, in the order of their names, and whether they end a round."""
     names = sorted(relays)
     rest = [name for name in names if name > summary.position]
@@ -92,15 +95,17 @@
     return some, len(some) == len(rest)
 
 
-def noted(summary: Summary, name: str, at_s: float, figures: dict[str, int] | None, why: str = "") -> None:
+def record_reading(
+    summary: Summary, name: str, at_s: float, figures: dict[str, int] | None, why: str = ""
+) -> None:
     """One reading of a relay."""
     summary.readings += 1
-    seen = summary.relays.setdefault(name, Seen())
+    seen = summary.relays.setdefault(name, RelayReading())
     if figures is None:
-        seen.why = why[:MOST_WHY] or "no answer"
+        seen.why = why[:MAX_WHY_CHARS] or "no answer"
         return
     for figure in figures:
-        if figure not in summary.names and len(summary.names) < MOST_FIGURES:
+        if figure not in summary.names and len(summary.names) < MAX_FIGURES:
             summary.names.append(figure)
     width = len(summary.names)
     last, before = seen.now + [0] * (width - len(seen.now)), seen.before + [0] * (width - len(seen.before))
@@ -112,7 +117,7 @@
     seen.at_s, seen.why, seen.now, seen.before = at_s, "", now, before
 
 
-def totals(slices: Iterable[Summary]) -> dict[str, int]:
+def sum_figures(slices: Iterable[Summary]) -> dict[str, int]:
     """Sums over the fleet: of counts over all processes ever read, of others over the relays that answer."""
     found = Counter[str]()
     for summary in slices:
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -7,14 +7,14 @@
 from random import Random
 
 from fleetlab.sim.members import PeersSim, Plan
-from membership.core import LIVE, MOST_MEMBERS, SECOND, Peers, Settings
-from membership.messages import Ack, Exchange, Gossip, Ping, Say, State, Update
-from membership.sampling_pool import Roll
+from membership.core import LIVE_STATES, MAX_MEMBERS, SECOND_US, MembershipCore, Settings
+from membership.messages import Ack, Exchange, Gossip, Ping, SendMessage, State, Update
+from membership.sampling_pool import SamplingPool
 
 
 def test_a_roll_draws_each_name_alike_and_none_that_is_not_meant() -> None:
     """Whoever has come and gone before."""
-    random, roll = Random(1), Roll()
+    random, roll = Random(1), SamplingPool()
     for number in range(40):
         roll.add(f"m{number}")
     for number in range(0, 40, 2):
@@ -22,19 +22,19 @@
     roll.discard("m0")
     roll.add("m1")
     assert sorted(roll) == sorted(f"m{number}" for number in range(1, 40, 2))
-    drawn = Counter(name for _ in range(4_000) for name in roll.draw(random, 3, "m1", "nobody"))
+    drawn = Counter(name for _ in range(4_000) for name in roll.sample(random, 3, "m1", "nobody"))
     assert "m1" not in drawn
     assert len(drawn) == len(roll) - 1
     assert max(drawn.values()) < 1.3 * min(drawn.values())
-    assert len(set(roll.draw(random, 100))) == len(roll)
-    assert len(roll.draw(random, 100, "m1")) == len(roll) - 1
-    assert Roll().draw(random, 3) == []
+    assert len(set(roll.sample(random, 100))) == len(roll)
+    assert len(roll.sample(random, 100, "m1")) == len(roll) - 1
+    assert SamplingPool().sample(random, 3) == []
 
 
-def member(now_us: int = 0) -> Peers:
+def member(now_us: int = 0) -> MembershipCore:
     """One that knows nobody."""
     me = Update("me", "a:0", "", 1, 0, State.ALIVE)
-    return Peers(me, ("a:1",), settings=Settings(), random=Random(3), now_us=now_us)
+    return MembershipCore(me, ("a:1",), settings=Settings(), random=Random(3), now_us=now_us)
 
 
 def test_who_is_filed_where_follows_from_what_is_held() -> None:
@@ -49,24 +49,24 @@
         core.receive(step * 1_000, Gossip((update,)))
         if step % 50 == 0:
             core.forget(step * 1_000, name)
-        held = {key: item.update for key, item in core.held.items() if key != "me"}
-        assert set(core._live) == {key for key, item in held.items() if item.state in LIVE}
-        assert set(core._alive) == {key for key, item in held.items() if item.state is State.ALIVE}
-        assert set(core._failed) == {key for key, item in held.items() if item.state is State.FAILED}
+        held = {key: item.update for key, item in core.members.items() if key != "me"}
+        assert set(core._live_members) == {key for key, item in held.items() if item.state in LIVE_STATES}
+        assert set(core._alive_members) == {key for key, item in held.items() if item.state is State.ALIVE}
+        assert set(core._failed_members) == {key for key, item in held.items() if item.state is State.FAILED}
         assert set(core._suspects) == {key for key, item in held.items() if item.state is State.SUSPECT}
-        at = {(item.update.address, key) for key, item in core.held.items()}
-        assert {(address, key) for address, keys in core._at.items() for key in keys} == at
+        at = {(item.update.address, key) for key, item in core.members.items()}
+        assert {(address, key) for address, keys in core._names_by_address.items() for key in keys} == at
 
 
 def test_beyond_the_bound_no_member_is_taken_in() -> None:
     """Those that are known stay, and go on being heard of."""
     core = member()
-    for number in range(MOST_MEMBERS + 10):
+    for number in range(MAX_MEMBERS + 10):
         core.receive(0, Gossip((Update(f"m{number}", f"a:{number}", "", 1, 0, State.ALIVE),)))
-    assert len(core.held) == MOST_MEMBERS
+    assert len(core.members) == MAX_MEMBERS
     core.receive(0, Gossip((Update("m1", "a:1", "", 2, 0, State.ALIVE),)))
-    assert core.held["m1"].update.generation == 2
-    assert f"m{MOST_MEMBERS + 1}" not in core.held
+    assert core.members["m1"].update.generation == 2
+    assert f"m{MAX_MEMBERS + 1}" not in core.members
 
 
 def test_a_member_of_a_thousand_probes_each_once_a_round_and_tells_all_in_an_exchange() -> None:
@@ -78,27 +78,27 @@
     while sum(pinged.values()) < 1024:
         now_us = core.due_us
         for item in core.wake(now_us):
-            if not isinstance(item, Say):
+            if not isinstance(item, SendMessage):
                 continue
             told.update(update.name for update in item.message.updates)
             if isinstance(item.message, Exchange):
-                assert len(item.message.updates) == len(core.held) == 1025
-                told.subtract(core.held.keys())
+                assert len(item.message.updates) == len(core.members) == 1025
+                told.subtract(core.members.keys())
             elif isinstance(item.message, Ping):
-                pinged[item.message.name] += 1
+                pinged[item.message.target_name] += 1
                 core.receive(now_us + 1_000, Ack(item.message.seq))
-        most = max(most, len(core._queue))
+        most = max(most, len(core._update_queue))
     assert pinged == Counter(names)
     assert most <= 2 * 1025
-    assert core._news == {}, "every piece has been said as often as it is to be"
-    assert {told[name] for name in names} == {math.ceil(Settings().repeats * math.log10(1025))}
+    assert core._pending_updates == {}, "every piece has been said as often as it is to be"
+    assert {told[name] for name in names} == {math.ceil(Settings().retransmit_multiplier * math.log10(1025))}
     assert not core._suspects
 
 
 def test_a_larger_fleet_agrees() -> None:
     """All of them join within a second; nobody is declared failed."""
     sim = PeersSim(1, Plan(members=120))
-    sim.start_all(SECOND)
+    sim.start_all(SECOND_US)
     sim.run(1.0)
     assert sim.until_agreed(40) is not None
     assert sim.false_alarms == []
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,12 +18,12 @@
 from membership import config, wire
 from membership.generation import GenerationError, next_generation
 from membership.messages import Gossip, Ping, State, Update
-from membership.transport import Rates
+from membership.transport import SenderRateLimiter
 from standins.scripted import ROOT
 from tests.membership.members import PORT, Members, states
 from tomlconfig import ConfigError
 
-FLEET = wire.mark("test")
+FLEET = wire.hash_fleet_name("test")
 
 
 @pytest_asyncio.fixture
@@ -132,8 +132,8 @@
             b"noise" * 100,
             whole[:-3],
             whole[:2] + bytes([9]) + whole[3:],
-            wire.encode(wire.mark("other"), Gossip((stranger,))),
-            wire.encode(wire.mark("other"), Ping(1, "m0", here)),
+            wire.encode(wire.hash_fleet_name("other"), Gossip((stranger,))),
+            wire.encode(wire.hash_fleet_name("other"), Ping(1, "m0", here)),
         ):
             sock.sendto(data, target)
         for _ in range(2_000):
@@ -217,7 +217,7 @@
         Update(f"member-{n:04}", f"127.1.2.3:{7000 + n}", "zone", 1 << 45, n, State.ALIVE) for n in range(40)
     )
     data = wire.encode(FLEET, Ping(7, "m0", "127.0.0.1:7000", updates))
-    assert len(data) <= wire.MOST_DATAGRAM
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES
     got = wire.decode(FLEET, data)
     assert isinstance(got, Ping)
     assert 10 < len(got.updates) < 40
@@ -236,10 +236,10 @@
 
 
 def test_a_sender_beyond_its_rate_is_dropped_and_others_are_not() -> None:
-    rates = Rates(per_s=10, burst=5, most=3)
-    assert sum(rates.take(("a", 1), 0.0) for _ in range(20)) == 5
-    assert rates.take(("b", 1), 0.0)
-    assert sum(rates.take(("a", 1), 1.0) for _ in range(20)) == 5, "no more than a burst comes back"
+    rates = SenderRateLimiter(per_s=10, burst=5, most=3)
+    assert sum(rates.allow(("a", 1), 0.0) for _ in range(20)) == 5
+    assert rates.allow(("b", 1), 0.0)
+    assert sum(rates.allow(("a", 1), 1.0) for _ in range(20)) == 5, "no more than a burst comes back"
     for port in range(10):
-        rates.take(("c", port), 1.0)
-    assert rates.take(("a", 1), 1.0), "the table is bounded, the oldest is forgotten"
+        rates.allow(("c", port), 1.0)
+    assert rates.allow(("a", 1), 1.0), "the table is bounded, the oldest is forgotten"
--- a/tests/membership/test_sim.py
+++ b/tests/membership/test_sim.py
@@ -8,11 +8,16 @@
 
 from fleetlab.sim.members import PeersSim, Plan
 from fleetlab.sim.world import Weather
-from membership.core import SECOND, Peers, Settings
+from membership.core import SECOND_US, MembershipCore, Settings
 from membership.messages import Gossip, Replaced, State, Update
 
 SIZES = (3, 40)
-FAST = Settings(period_us=SECOND // 2, ack_us=150_000, exchange_us=5 * SECOND, again_us=2 * SECOND)
+FAST = Settings(
+    probe_period_us=SECOND_US // 2,
+    ack_timeout_us=150_000,
+    exchange_interval_us=5 * SECOND_US,
+    failed_probe_interval_us=2 * SECOND_US,
+)
 FAR = Weather(lost=0.01, least_us=50_000, most_us=130_000)
 BAD = Weather(lost=0.3, doubled=0.1, late=0.1, least_us=200, most_us=3_000)
 
@@ -20,7 +25,7 @@
 def fleet(seed: int, plan: Plan) -> PeersSim:
     """One that has come up and agrees."""
     sim = PeersSim(seed, plan)
-    sim.start_all(SECOND)
+    sim.start_all(SECOND_US)
     sim.run(1.0)
     assert sim.until_agreed(30) is not None
     return sim
@@ -94,7 +99,7 @@
     """Three in ten datagrams, some doubled and some late; without indirect probes they do."""
     plan = Plan(members=20, settings=FAST, weather=BAD)
     assert alarms(plan, range(3)) == 0
-    hasty = replace(FAST, indirect=0, suspicion=1.0, patience=1.0)
+    hasty = replace(FAST, indirect_probes=0, suspicion_multiplier=1.0, max_suspicion_ratio=1.0)
     assert alarms(replace(plan, settings=hasty), range(3)) > 0
 
 
@@ -102,7 +107,7 @@
     """A tenth that run by fits and starts; without patience, or where nobody refutes, they do."""
     plan = Plan(members=20, settings=FAST, weather=FAR)
     assert alarms(plan, range(3), slow=2) == 0
-    hasty = replace(FAST, suspicion=0.5, patience=1.0, most_health=0)
+    hasty = replace(FAST, suspicion_multiplier=0.5, max_suspicion_ratio=1.0, max_local_health=0)
     assert alarms(replace(plan, settings=hasty), range(2), slow=2) > 0
     assert alarms(replace(plan, core=NeverRefutes), range(2), slow=2) > 0
 
@@ -120,33 +125,33 @@
     assert rate(60) < 1.5 * rate(10) < 6
 
 
-class GenerationIgnored(Peers):
+class GenerationIgnored(MembershipCore):
     """What is said of an old life counts for the new one."""
 
-    def _overrides(self, update: Update, held: Update) -> bool:
+    def _supersedes(self, update: Update, held: Update) -> bool:
         return update.state > held.state or update.number > held.number
 
 
-class NumberIgnored(Peers):
+class NumberIgnored(MembershipCore):
     """A suspicion that was refuted counts again."""
 
-    def _overrides(self, update: Update, held: Update) -> bool:
+    def _supersedes(self, update: Update, held: Update) -> bool:
         if update.generation != held.generation:
             return update.generation > held.generation
         return update.state is not held.state
 
 
-class NeverRefutes(Peers):
+class NeverRefutes(MembershipCore):
     """Says nothing when it is suspected."""
 
-    def _hear_of_me(self, update: Update) -> None:
+    def _apply_update_of_self(self, update: Update) -> None:
         return
 
 
-def churned(core: type[Peers], seed: int) -> tuple[bool, int]:
+def churned(core: type[MembershipCore], seed: int) -> tuple[bool, int]:
     """A fleet with losses, restarts and a cut: whether it agrees within a minute after, and false alarms."""
     sim = PeersSim(seed, Plan(members=12, settings=FAST, core=core))
-    sim.start_all(SECOND)
+    sim.start_all(SECOND_US)
     sim.run(10)
     sim.network.weather = BAD
     sim.kill("m3", "m4")
@@ -163,11 +168,11 @@
 
 def test_a_fleet_that_was_shaken_agrees() -> None:
     """Whatever the seed."""
-    assert [churned(Peers, seed) for seed in range(5)] == [(True, 0)] * 5
+    assert [churned(MembershipCore, seed) for seed in range(5)] == [(True, 0)] * 5
 
 
 @pytest.mark.parametrize("core", [GenerationIgnored, NumberIgnored, NeverRefutes])
-def test_a_planted_bug_is_found(core: type[Peers]) -> None:
+def test_a_planted_bug_is_found(core: type[MembershipCore]) -> None:
     """In one of five schedules at the latest."""
     assert [churned(core, seed) for seed in range(5)] != [(True, 0)] * 5
 
--- a/tests/quorum/test_tasks.py
+++ b/tests/quorum/test_tasks.py
@@ -19,8 +19,8 @@
 from standins.scripted import ROOT
 from sweeper import summary
 from sweeper.config import load
-from sweeper.summary import FiguresError, Summary, figures_of, following, noted, totals
-from sweeper.sweeper import shown, summaries_of, tasks_of
+from sweeper.summary import FiguresError, Summary, next_relays, parse_figures, record_reading, sum_figures
+from sweeper.sweeper import assign_relays_to_tasks, fleet_summary, read_summaries
 from tests.quorum.servers import Quorum, quorum, until
 from tomlconfig import ConfigError
 
@@ -139,44 +139,46 @@
     """A smaller count comes from a new process and is added; a gauge counts only relays that answer."""
     summary_read = Summary()
     for at, (served, in_flight) in enumerate(((10, 3), (25, 4), (5, 1))):
-        noted(summary_read, "r0", float(at), figures_of(STATS.format("x", served, in_flight).encode()))
-    noted(summary_read, "r1", 3.0, figures_of(STATS.format("x", 7, 2).encode()))
-    assert totals([summary_read]) == {"requests.x.served": 25 + 5 + 7, "in_flight": 3}
-    noted(summary_read, "r1", 4.0, None, "no answer in time")
-    assert totals([summary_read]) == {"requests.x.served": 37, "in_flight": 1}
-    assert summary.opened(summary.packed(summary_read)) == summary_read
-    assert summary.opened(b"\xff garbage") == Summary()
+        record_reading(
+            summary_read, "r0", float(at), parse_figures(STATS.format("x", served, in_flight).encode())
+        )
+    record_reading(summary_read, "r1", 3.0, parse_figures(STATS.format("x", 7, 2).encode()))
+    assert sum_figures([summary_read]) == {"requests.x.served": 25 + 5 + 7, "in_flight": 3}
+    record_reading(summary_read, "r1", 4.0, None, "no answer in time")
+    assert sum_figures([summary_read]) == {"requests.x.served": 37, "in_flight": 1}
+    assert summary.decode_summary(summary.encode_summary(summary_read)) == summary_read
+    assert summary.decode_summary(b"\xff garbage") == Summary()
 
 
 def test_a_summary_of_the_largest_fleet_fits_a_record() -> None:
     """With large counts, and relays that report many figures."""
     found = Summary()
     many = "".join(f"app.requests.class-{number}.served:{10**12}|c\n" for number in range(100))
-    for number in range(summary.MOST_IN_RECORD):
+    for number in range(summary.MAX_RELAYS_PER_RECORD):
         for life in (10**12, 10**9):
             lines = "".join(f"app.requests.class-{item}.served:{life}|c\n" for item in range(12))
-            noted(found, f"relay-{number:018}", 1e9, figures_of((lines + many).encode()))
-    assert len(found.names) <= summary.MOST_FIGURES
-    assert len(summary.packed(found)) < MAX_VALUE_BYTES
+            record_reading(found, f"relay-{number:018}", 1e9, parse_figures((lines + many).encode()))
+    assert len(found.names) <= summary.MAX_FIGURES
+    assert len(summary.encode_summary(found)) < MAX_VALUE_BYTES
 
 
 def test_a_large_fleet_is_spread_over_records_that_hold_it() -> None:
     """Each relay is in exactly one record, and stays in it when others are added."""
     names = [f"r{number}" for number in range(1024)]
-    slices = summary.slices_of(names)
+    slices = summary.split_into_slices(names)
     assert sorted(name for names_of_slice in slices for name in names_of_slice) == sorted(names)
-    assert max(map(len, slices)) <= summary.MOST_IN_RECORD
-    more = summary.slices_of([*names, *(f"x{number}" for number in range(1024))])
+    assert max(map(len, slices)) <= summary.MAX_RELAYS_PER_RECORD
+    more = summary.split_into_slices([*names, *(f"x{number}" for number in range(1024))])
     assert all(set(before) <= set(after) for before, after in zip(slices, more, strict=True))
-    assert summary.slices_of(names[:200]) == [sorted(names[:200])], "a small fleet has one"
+    assert summary.split_into_slices(names[:200]) == [sorted(names[:200])], "a small fleet has one"
 
 
 def test_the_slices_of_a_fleet_are_shown_as_one() -> None:
     """Totals are summed over all slices; a round counts once it is complete in each."""
     slices = [Summary(rounds=3), Summary(rounds=2)]
     for at, found in enumerate(slices):
-        noted(found, f"r{at}", 1.0, figures_of(STATS.format("x", 10 + at, 1).encode()))
-    told: Any = shown(slices)
+        record_reading(found, f"r{at}", 1.0, parse_figures(STATS.format("x", 10 + at, 1).encode()))
+    told: Any = fleet_summary(slices)
     assert told["rounds"] == told["readings"] == 2
     assert told["totals"] == {"requests.x.served": 21, "in_flight": 2}
     assert list(told["relays"]) == ["r0", "r1"]
@@ -200,15 +202,15 @@
 def test_what_are_no_figures_is_told(body: bytes) -> None:
     """An unreadable answer is an error as a whole."""
     with pytest.raises(FiguresError):
-        figures_of(body)
+        parse_figures(body)
 
 
 def test_relays_are_read_in_turn() -> None:
     """The order is kept whichever process reads and whichever relays are added or removed."""
     found = Summary(position="b")
-    assert following(found, ["d", "a", "b", "c"], 1) == (["c"], False)
-    assert following(found, ["d", "a", "b", "c"], 5) == (["c", "d"], True)
-    assert following(Summary(position="z"), ["a"], 3) == ([], True)
+    assert next_relays(found, ["d", "a", "b", "c"], 1) == (["c"], False)
+    assert next_relays(found, ["d", "a", "b", "c"], 5) == (["c", "d"], True)
+    assert next_relays(Summary(position="z"), ["a"], 3) == ([], True)
 
 
 @pytest.mark.parametrize(
@@ -295,12 +297,12 @@
             client = cluster.client()
             await until(lambda: len(relays.calls) > 8, 30)
             holder = (await client.read(5.0, lease="task/sweep")).owner
-            before = summary.opened((await client.read(5.0, key="task/sweep")).value)
+            before = summary.decode_summary((await client.read(5.0, key="task/sweep")).value)
             processes[int(holder[1])].kill()
             count = len(relays.calls)
             await until(lambda: len(relays.calls) > count + 12, 30)
             read = await client.read(5.0, lease="task/sweep", key="task/sweep")
-            after = summary.opened(read.value)
+            after = summary.decode_summary(read.value)
             assert read.owner == {"s0": "s1", "s1": "s0"}[holder]
             assert after.rounds > before.rounds
             assert after.relays["gone"].why
@@ -336,14 +338,14 @@
         await cluster.leader()
         paths = sweepers(tmp_path, cluster, ["pace_per_s = 200.0", "ttl_ms = 2000"], fleet)
         processes = sweeping(paths)
-        client, tasks = cluster.client(), tasks_of(fleet)
+        client, tasks = cluster.client(), assign_relays_to_tasks(fleet)
         try:
             await until(lambda: len(relays.calls) > 600, 60)
             holders = [(await client.read(5.0, lease=f"task/{task}")).owner for task in tasks]
-            before = await summaries_of(client, tasks)
+            before = await read_summaries(client, tasks)
             processes[int(max(set(holders), key=holders.count)[1])].kill()
             while True:
-                after = await summaries_of(client, tasks)
+                after = await read_summaries(client, tasks)
                 if min(found.rounds for found in after) > max(found.rounds for found in before):
                     break
                 await asyncio.sleep(0.2)
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -11,7 +11,7 @@
 from fleetlab.scale.subjects import members, members_faults
 from fleetlab.sim.members import PeersSim, Plan
 from fleetlab.sim.settled import SettledPeers, SettledSim
-from membership.core import SECOND
+from membership.core import SECOND_US
 from membership.messages import Exchange, Update
 
 SEED = 1
@@ -23,19 +23,19 @@
 class ResendsWholeView(SettledPeers):
     """A planted quadratic: each change has the whole view told again."""
 
-    def _pass_on(self, update: Update) -> None:
-        super()._pass_on(update)
-        for held in list(self.held.values()):
-            super()._pass_on(held.update)
+    def _enqueue_update(self, update: Update) -> None:
+        super()._enqueue_update(update)
+        for held in list(self.members.values()):
+            super()._enqueue_update(held.update)
 
 
 class ExchangesWithAll(SettledPeers):
     """A planted quadratic: whole views go to all others in place of one."""
 
-    def _exchange(self) -> None:
-        super()._exchange()
-        for name in self._live:
-            self._say(name, Exchange(self.me.address, self._all(), answer=False))
+    def _start_exchange(self) -> None:
+        super()._start_exchange()
+        for name in self._live_members:
+            self._send(name, Exchange(self.own_update.address, self._full_view(), wants_reply=False))
 
 
 def counts(play: Play, size: int, core: type[SettledPeers] = SettledPeers) -> dict[str, float]:
@@ -104,7 +104,7 @@
         return new.total() - new["Exchange"], new["Exchange"]
 
     came_up = PeersSim(SEED, Plan(20))
-    came_up.start_all(SECOND)
+    came_up.start_all(SECOND_US)
     datagrams, exchanges = sent(came_up)
     settled_datagrams, settled_exchanges = sent(SettledSim(SEED, 20))
     assert 0.9 < settled_datagrams / datagrams < 1.1
--- a/tomlconfig/__init__.py
+++ b/tomlconfig/__init__.py
@@ -17,7 +17,7 @@
     """The configuration cannot be used."""
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """``host:port``; ``ConfigError`` where it is none."""
     host, sign, port = text.rpartition(":")
     if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -28,12 +28,12 @@
 def check_address(key: str, text: str) -> None:
     """``ConfigError`` with the key where a text is no address."""
     try:
-        address_of(text)
+        parse_address(text)
     except ConfigError as error:
         raise ConfigError(f"{key}: {error}") from None
 
 
-def read(path: Path, kind: type[T], check: Callable[[T], None]) -> T:
+def read_config(path: Path, kind: type[T], check: Callable[[T], None]) -> T:
     """A TOML file of a service's options; ``ConfigError`` names file and key."""
     try:
         config = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), kind)
