--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -42,7 +42,7 @@
 
 def test_a_limit_far_under_the_told_rate_is_not_hammered() -> None:
     """Incident i2ed9dd: a lowered limit drew refusals for as long as it lasted."""
-    checker = Checker(settings(rates_told=True, hold_cap=500))
+    checker = Checker(settings(rate_hints_given=True, hold_cap=500))
     checker.step(0, [endpoint_update(entry("h1", rate=20.0))])
     served: list[int] = []
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -176,7 +176,7 @@
 
 def closes_idle(size: int, kind: str) -> bool:
     """Whether a relay closes its connection to "h1", after one call of 20 elsewhere was turned away."""
-    relay = Relay(settings(group_size=size, rates_told=True, keepalive_us=5 * SECOND), seed=1)
+    relay = Relay(settings(group_size=size, rate_hints_given=True, keepalive_us=5 * SECOND), seed=1)
     others = entry("h2", dest=2, kind=kind, rate=1000.0)
     relay.step(0, [endpoint_update(entry("h1", rate=1000.0), others)])
     closed = False
@@ -263,7 +263,7 @@
 
 
 def test_a_busy_relay_in_a_large_group_is_not_held_to_an_equal_part() -> None:
-    checker = Checker(settings(group_size=300, rates_told=True, hold_cap=500))
+    checker = Checker(settings(group_size=300, rate_hints_given=True, hold_cap=500))
     checker.step(0, [endpoint_update(entry("h1", rate=20.0))])
     log = drive(checker, 10 * SECOND, steady(200_000), lambda *_: (api.Verdict.OK, 80_000))
     assert len(log) >= 45, "five a second, where an equal part were one in fifteen seconds"
--- a/tests/test_ranked_queue.py
+++ b/tests/test_ranked_queue.py
@@ -66,7 +66,7 @@
 
 def config(halves: bool = False, hold_cap: int = 120) -> api.Settings:
     """Settings with classes of every kind of worth."""
-    return settings(classes=CLASSES, halves=halves, hold_cap=hold_cap)
+    return settings(classes=CLASSES, late_worth_halves=halves, hold_cap=hold_cap)
 
 
 def both(set_: api.Settings, seed: int, steps: int, clumps: int) -> int:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -174,7 +174,7 @@
 
 def returning_calls(group_size: int) -> int:
     """Calls in the first two seconds after a silent outage, with a backlog waiting."""
-    config = settings(group_size=group_size, rates_told=True, fall_multiple=2.0, cold_from=0.2)
+    config = settings(group_size=group_size, rate_hints_given=True, fall_multiple=2.0, cold_from=0.2)
     checker = Checker(config)
     checker.step(0, [endpoint_update(entry("h1", rate=10.0))])
     out = sends(checker.step(0, [arrival("w", KEYED)]))
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -109,7 +109,7 @@
     config = settings(
         must_ask=ask,
         ask_within_us=10 * SECOND,
-        rates_told=told,
+        rate_hints_given=told,
         slots=slots,
         may_probe=told,
         may_duplicate=ask,
