--- a/decisions/__init__.py
+++ b/decisions/__init__.py
@@ -1,5 +1,5 @@
 """decisions: the decisions of a relay that delivers webhooks and other calls to many destinations."""
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 
-__all__ = ["Relay"]
+__all__ = ["DecisionEngine"]
--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -108,7 +108,7 @@
 )  # us ahead in which waiting loses worth; weight of the worth beside
 
 
-class Relay:
+class DecisionEngine:
     """One sender. Feed it batches of events in order of time; carry out what it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
--- a/decisions/interface.py
+++ b/decisions/interface.py
@@ -1,7 +1,7 @@
 """The vocabulary of the decision module: settings, events, actions and outcomes.
 
 Times are whole microseconds and carry the suffix ``_us``. Everything here is a frozen value; a caller
-builds settings and events, hands them to ``decisions.engine.Relay`` and carries out the actions it returns.
+builds settings and events, hands them to ``decisions.engine.DecisionEngine`` and carries out the actions it returns.
 """
 
 from __future__ import annotations
--- a/decisions/simulator_adapter.py
+++ b/decisions/simulator_adapter.py
@@ -10,7 +10,7 @@
 from typing import IO, TypeVar
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 
 Fields = dict[str, str]
 T = TypeVar("T")
@@ -295,7 +295,7 @@
     def __init__(self, lines: Iterator[str], out: IO[str]) -> None:
         """Read frames from ``lines`` and write replies to ``out``."""
         self._lines, self._out, self._line_number = lines, out, 0
-        self._relays: dict[str, Relay] = {}
+        self._relays: dict[str, DecisionEngine] = {}
         self._tables: dict[int, tuple[api.Entry, ...]] = {}
         self._events: dict[str, list[api.Event]] = {}
 
@@ -340,7 +340,7 @@
         pairs = parse_fields(rest)
         who, seed = required_value(pairs, "who"), parse_int(pairs, "init_seed")
         try:
-            self._relays[who] = Relay(parse_settings(pairs), seed)
+            self._relays[who] = DecisionEngine(parse_settings(pairs), seed)
         except MalformedLineError:
             raise
         except ValueError as error:
--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Action, Event
 from fleetlab.scale.child import Child
 from fleetlab.scale.directory import Counts, Hold, Tell, Up, directory_process
@@ -71,7 +71,7 @@
         self.state.mkdir()
 
 
-class CountingModule(Relay):
+class CountingModule(DecisionEngine):
     """The module, with the entries of the list that each step brought."""
 
     entries_taken = 0
--- a/fleetlab/scale/simulated_module.py
+++ b/fleetlab/scale/simulated_module.py
@@ -9,7 +9,7 @@
 from types import FrameType
 from typing import Any
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import (
     Action,
     Arrival,
@@ -32,7 +32,7 @@
 SERVED_US, REFUSED_US = 20_000, 1_000  # until a call is answered, or its connection is refused
 
 
-class TimedRelay(Relay):
+class TimedRelay(DecisionEngine):
     """The module as it is, with the processor seconds of its work for every held message."""
 
     report_s = forget_s = 0.0  # of the latest one
--- a/fleetlab/scale/subjects/destinations.py
+++ b/fleetlab/scale/subjects/destinations.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, fields
 from random import Random
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Settings
 from fleetlab.scale.counting_dict import CountedDict
 from fleetlab.scale.process import resident_bytes
@@ -115,7 +115,7 @@
     random, entries = Random(seed), entries_of(size)
     down = random.sample([entry.host for entry in entries], play.down_of(size))
     faults = {host: play.faults[at % len(play.faults)] for at, host in enumerate(down)}
-    simulation, module = Simulation(), Relay(play.settings(), seed)
+    simulation, module = Simulation(), DecisionEngine(play.settings(), seed)
     destinations = ManyDestinations(faults, random.getrandbits(32))
     relay = HollowRelay(simulation, module, destinations)
     before_bytes = resident_bytes()
--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -5,7 +5,7 @@
 import json
 from random import Random
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Effect, EndpointUpdate, EndpointUpdateKind, MessageClass, Settings
 from fleetlab.scale import endpoints
 from fleetlab.scale.list_loading import GROUP, Intake, ProcessIntake, driver_intake, process_intake
@@ -63,7 +63,7 @@
 def direct_readings(size: int, seed: int) -> list[Reading]:
     """Read a whole list and hand it to the module in one step, with no sockets."""
     line = endpoints.news_line(size, True, endpoints.entries(size, Random(seed)))
-    relay = Relay(settings(), seed)
+    relay = DecisionEngine(settings(), seed)
     begun_s = processor_seconds()
     news = parse_list(json.loads(line))
     read_s = processor_seconds() - begun_s
--- a/fleetlab/scale/subjects/fleet_outage.py
+++ b/fleetlab/scale/subjects/fleet_outage.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Settings, Verdict
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
@@ -149,7 +149,7 @@
     by_host = {entry.host: destination for entry, destination in zip(entries, cold, strict=True)}
     relays = []
     for number in range(size):
-        module = Relay(settings(size, number), random.getrandbits(32))
+        module = DecisionEngine(settings(size, number), random.getrandbits(32))
         relay = HollowRelay(simulation, module, ColdDestinations(by_host))
         relay.load(entries)
         Feed(simulation, relay, entries, len(FAULTS) * DEMAND_PER_S / size, random.getrandbits(32))
--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Protocol
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import (
     Action,
     Arrival,
@@ -133,7 +133,7 @@
 class HollowRelay:
     """The decision module with its timers, its messages and its calls, and no work behind them."""
 
-    def __init__(self, simulation: Simulation, module: Relay, destinations: Destinations) -> None:
+    def __init__(self, simulation: Simulation, module: DecisionEngine, destinations: Destinations) -> None:
         self.module, self.counts, self.timing = module, Counts(), Timing()
         self.on_step: Callable[[], None] = lambda: None  # called after each step
         self._simulation, self._destinations = simulation, destinations
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -1,4 +1,4 @@
-"""The relay: feeds ``Relay.step`` with what happens and carries out what it decides.
+"""The relay: feeds ``DecisionEngine.step`` with what happens and carries out what it decides.
 
 It owns which message owes which end. It decides nothing that the module can decide: it refuses at the door
 what it cannot keep, and while it shuts down it starts no call that could not end.
@@ -19,9 +19,8 @@
 from itertools import islice
 from typing import Any
 
-from decisions import Relay as Module
+from decisions import DecisionEngine, ranked_queue, state
 from decisions import interface as api
-from decisions import ranked_queue, state
 from decisions.interface import Settings
 from relay import calls, endpoint_calls, endpoint_list
 from relay.calls import Call, Part, PartOutcome
@@ -88,7 +87,7 @@
     """What a process of the same layout takes over beside the journal: nothing of it outlasts both."""
 
     clock_offset_us: int  # of the clock
-    module: Module
+    module: DecisionEngine
     pending_events: list[api.Event]
     list_version: int  # of the list
     hosts: CallsHandover
@@ -117,7 +116,7 @@
             endpoint_list,
             calls,
             endpoint_calls,
-            Module.__init__,
+            DecisionEngine.__init__,
             SameLayoutState,
         )
     ]
@@ -158,7 +157,7 @@
         self._settings, self._journal, self._on_crash = config.settings, journal, crashed
         self._loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self._module = Module(config.settings, config.seed)
+        self._module = DecisionEngine(config.settings, config.seed)
         self._hosts = EndpointCalls(
             config.settings.kinds,
             config.settings.keepalive_us,
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from decisions import Relay
+from decisions import DecisionEngine
 from decisions import interface as api
 
 
@@ -46,7 +46,7 @@
 
     def __init__(self, settings: api.Settings, seed: int = 1) -> None:
         """Start a relay under audit."""
-        self.settings, self.relay, self.now_us = settings, Relay(settings, seed), 0
+        self.settings, self.relay, self.now_us = settings, DecisionEngine(settings, seed), 0
         self.classes = {cls.name: cls for cls in settings.classes}
         self.apart = {kind.name: kind.limit_per_endpoint for kind in settings.kinds}
         self.batch = {kind.name: kind.batch_size for kind in settings.kinds}
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from tests.support import KEYED, SAFE, SECOND, settings
 
 DOWN_US, BACK_US, WARM_US, FALL_US = 10 * SECOND, 18 * SECOND, 10 * SECOND, 2 * SECOND
@@ -68,12 +68,12 @@
         self.knew: set[int] = set()
         self.calls: list[tuple[int, bool]] = []  # since the return: when, and by a relay that knew
 
-    def _relay(self, number: int) -> Relay:
+    def _relay(self, number: int) -> DecisionEngine:
         told = settings(
             slots=12, group_size=self.day.size, number=number, fall_multiple=MULTIPLE, fall_us=FALL_US,
             cold_from=COLD_FROM, warm_within_us=WARM_US, hold_cap=200, max_attempts=8,
         )  # fmt: skip
-        return Relay(told, self.rng.getrandbits(60))
+        return DecisionEngine(told, self.rng.getrandbits(60))
 
     def play(self, seconds: int = 30) -> Peak:
         """The whole day, and its worst window."""
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from fleetlab.scale.fit import exponent
 from fleetlab.scale.held_load import BODY_BYTES, DOWN, SPREAD, START_US, backlog, message, reserved_bytes
 from fleetlab.scale.replay import replayed
@@ -145,14 +145,14 @@
 
 
 def test_a_scan_of_the_backlog_in_each_step_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    expire = Relay._expire
+    expire = DecisionEngine._expire
 
-    def scan(relay: Relay) -> None:
+    def scan(relay: DecisionEngine) -> None:
         for held in relay.messages.values():
             assert not held.done
         expire(relay)
 
-    monkeypatch.setattr(Relay, "_expire", scan)
+    monkeypatch.setattr(DecisionEngine, "_expire", scan)
     assert exponent(steps_lines()) > 0.9
 
 
--- a/tests/scale/test_destinations.py
+++ b/tests/scale/test_destinations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Action, Event
 from decisions.state import Destination
 from fleetlab.scale.counting_dict import CountedDict
@@ -34,14 +34,14 @@
 
 def plant_scan(monkeypatch: pytest.MonkeyPatch) -> None:
     """A look at every endpoint for each event."""
-    step = Relay.step
+    step = DecisionEngine.step
 
-    def scanning(relay: Relay, now_us: int, events: list[Event]) -> list[Action]:
+    def scanning(relay: DecisionEngine, now_us: int, events: list[Event]) -> list[Action]:
         for _ in events:
             assert all(endpoint.host for endpoint in relay.endpoints.values())
         return step(relay, now_us, events)
 
-    monkeypatch.setattr(Relay, "step", scanning)
+    monkeypatch.setattr(DecisionEngine, "step", scanning)
 
 
 def test_a_counted_dict_tells_every_way_to_look() -> None:
@@ -88,7 +88,7 @@
     assert (
         figures(run(play, 20, 1, counted=False), play, 20)["wasted_per_down_destination_calls"] <= most_calls
     )
-    monkeypatch.setattr(Relay, "_record_failure", lambda *_: None)
+    monkeypatch.setattr(DecisionEngine, "_record_failure", lambda *_: None)
     assert (
         figures(run(play, 20, 1, counted=False), play, 20)["wasted_per_down_destination_calls"] > most_calls
     )
@@ -107,8 +107,8 @@
     play = replace(PLAY, slots=96, faults=(Fault.HANGS,), down_share=0.25)
     assert run(play, 200, 1, counted=True).looks.most_due <= 200
 
-    def always(relay: Relay, _dest: Destination, number: int, at_us: int) -> None:
+    def always(relay: DecisionEngine, _dest: Destination, number: int, at_us: int) -> None:
         heapq.heappush(relay.check_heap, (at_us, number))
 
-    monkeypatch.setattr(Relay, "_schedule_check", always)
+    monkeypatch.setattr(DecisionEngine, "_schedule_check", always)
     assert run(play, 200, 1, counted=True).looks.most_due > 200
--- a/tests/scale/test_fleet_outage.py
+++ b/tests/scale/test_fleet_outage.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from fleetlab.scale.records import Source
 from fleetlab.scale.subjects import fleet_outage
 from fleetlab.scale.subjects.fleet_outage import DEMAND_PER_S
@@ -40,7 +40,7 @@
 
 def test_relays_that_note_no_failure_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: every message is tried at once, as often as it may be."""
-    monkeypatch.setattr(Relay, "_record_failure", lambda *_: None)
+    monkeypatch.setattr(DecisionEngine, "_record_failure", lambda *_: None)
     found = figures(SIZES[-1])
     assert max(wasted(found)) > DEMAND_PER_S
     assert most_over_bearable(found) > 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,14 +5,14 @@
 import heapq
 
 from decisions import interface as api
-from decisions.engine import MAX_GONE_ENDPOINTS, Relay
+from decisions.engine import MAX_GONE_ENDPOINTS, DecisionEngine
 from relay import endpoint_calls
 from relay.endpoint_list import DirectoryUpdate, ListedEndpoint
 from tests.support import ORDERED, SAFE, SECOND, arrival, endpoint_update, entry, sends, settings
 from tests.test_endpoint_calls import Calls
 
 
-def sizes(relay: Relay) -> dict[str, int]:
+def sizes(relay: DecisionEngine) -> dict[str, int]:
     """How much a relay keeps, by table; what belongs to others is counted with them."""
     tables = (
         "messages endpoints dests banned key_queues key_cooldown_until_us baseline_stats"
@@ -29,7 +29,7 @@
 
 def test_a_hundred_thousand_messages_leave_no_more_than_ten_thousand() -> None:
     """Keys of an order that are used once each, and partners that no list names, could pile up."""
-    relay = Relay(settings(hold_cap=200), 1)
+    relay = DecisionEngine(settings(hold_cap=200), 1)
     relay.step(0, [endpoint_update(*(entry(f"h{n}", n % 4) for n in range(8)))])
     now_us, known = 0, dict[int, dict[str, int]]()
     done: list[tuple[int, int, api.Send]] = []
@@ -54,7 +54,7 @@
 
 def test_endpoints_that_left_are_forgotten_but_for_the_latest() -> None:
     """As many as a day of replacements brings; those listed stay, and so does one with a call out."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [endpoint_update(entry("stays"), entry("h0"))])
     relay.step(5_000, [arrival("m1"), arrival("m2")])
     busy = {call.endpoint.host for e in relay.endpoints.values() for call in e.calls}
@@ -82,7 +82,7 @@
 
 def test_a_partner_without_endpoints_is_kept_as_long_as_a_message_is_out() -> None:
     """Its endpoint went over to another partner under a call; the call's outcome is still met."""
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     relay.step(0, [endpoint_update(entry("h1"))])
     send = sends(relay.step(5_000, [arrival("m1")]))[0]
     relay.step(10_000, [endpoint_update(entry("h1", dest=2))])
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from tests.cold_fleet import Day, Fleet
 
 OUTAGES = ["down", "shut", "fail", "hang"]
@@ -49,13 +49,13 @@
 
 def test_relays_that_note_no_failure_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: nobody pauses for what failed, and so nobody knows of a return."""
-    monkeypatch.setattr(Relay, "_record_failure", lambda *_: None)
+    monkeypatch.setattr(DecisionEngine, "_record_failure", lambda *_: None)
     peaks = [Fleet(Day(outage, 30, 1, told=False)).play() for outage in OUTAGES]
     assert any(peak.breaks for peak in peaks), peaks
 
 
 def test_each_relay_taking_the_whole_of_what_it_bears_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: a relay's part is all of it."""
-    monkeypatch.setattr(Relay, "_rate_share", lambda *_: 20.0)
+    monkeypatch.setattr(DecisionEngine, "_rate_share", lambda *_: 20.0)
     peaks = [Fleet(Day(outage, 30, 1, told=False)).play() for outage in OUTAGES]
     assert any(peak.breaks for peak in peaks), peaks
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from relay.discovery import LineBuffer, line_limit_for_memory
 from relay.endpoint_list import (
     DirectoryUpdate,
@@ -115,10 +115,10 @@
 
 
 def follow(
-    feed: Callable[[Calls, Relay], None], known: list[ListedEndpoint]
+    feed: Callable[[Calls, DecisionEngine], None], known: list[ListedEndpoint]
 ) -> tuple[dict[str, ListedEndpoint], Any]:
     """What the network code and the module hold after some news, with what they knew before."""
-    calls, module = Calls(1), Relay(settings(), 1)
+    calls, module = Calls(1), DecisionEngine(settings(), 1)
     if known:
         calls.hosts.apply_update(DirectoryUpdate(1, True, tuple(known)))
         module.step(
@@ -141,14 +141,14 @@
     known = [item for item in known if item.entry.listing is not api.Listing.GONE]
     news = DirectoryUpdate(2, whole, tuple(hosts))
 
-    def at_once(calls: Calls, module: Relay) -> None:
+    def at_once(calls: Calls, module: DecisionEngine) -> None:
         changes = {item.entry.host: item for item in hosts}  # of a host that is named twice the last counts
         entries = tuple(item.entry for item in changes.values())
         calls.hosts.apply_update(news)
         kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
         module.step(5_000, [api.EndpointUpdate(kind, entries)])
 
-    def by_pieces(calls: Calls, module: Relay) -> None:
+    def by_pieces(calls: Calls, module: DecisionEngine) -> None:
         for number, piece in enumerate(split_changes(ordered_changes(news, calls.hosts.endpoints), most)):
             assert len(piece) <= most
             calls.hosts.apply_update(DirectoryUpdate(2, False, piece))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, UNSAFE, arrival, ended, endpoint_update, entry, sends, settings
 
@@ -366,7 +366,7 @@
 
 def test_what_a_former_life_left_is_demand() -> None:
     """Day 3 of the score: not counted, the first refusal of these messages cut the pace to almost nothing."""
-    relay = Relay(settings(slots=40), 1)
+    relay = DecisionEngine(settings(slots=40), 1)
     held = [arrival(f"m{number}") for number in range(50)]
     calls = sends(relay.step(0, [endpoint_update(entry("h1")), *held]))
     relay.step(40_000, [ended(calls[0], api.Verdict.FULL, took_us=40_000)])
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -7,7 +7,7 @@
 import pytest
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.state import Destination, Endpoint, LimiterState
 from tests.checker import Checker
 from tests.support import KEYED, SAFE, SECOND, arrival, ended, endpoint_update, entry, sends, settings
@@ -88,7 +88,7 @@
 def test_a_cold_server_gets_the_whole_of_a_part_as_it_warms(calls_per_s: float) -> None:
     """The sum of the spaced calls is the area under the growing rate, whatever the part."""
     limits = settings(group_size=20, warm_within_us=10 * SECOND, cold_from=0.2, fall_multiple=2.0)
-    relay = Relay(limits, seed=1)
+    relay = DecisionEngine(limits, seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     endpoint = relay.endpoints["h1"]
     endpoint.rate_limiter.advertised_rate = 20 * calls_per_s
@@ -103,7 +103,7 @@
 
 def test_no_room_left_slows_down_and_room_speeds_up() -> None:
     def pace(left: float | None) -> float:
-        relay = Relay(settings(group_size=40), seed=1)
+        relay = DecisionEngine(settings(group_size=40), seed=1)
         [send] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1")]))
         told = api.Outcome("m1", 0, send.host, api.Verdict.OK, 1000, True, 0, left, 20.0)
         relay.step(1000, [told])
@@ -115,7 +115,7 @@
 
 def paces(size: int, *told: tuple[api.Verdict, float], every_us: int = 10 * SECOND) -> list[float]:
     """A relay's pace at a limit of 20 a second after each of these answers."""
-    relay = Relay(settings(group_size=size, may_cancel=False), seed=1)
+    relay = DecisionEngine(settings(group_size=size, may_cancel=False), seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     found = []
     for number, (verdict, left) in enumerate(told):
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize(("left", "cold"), [(0.0, False), (0.9, True)])
 def test_refusals_above_a_limit_are_no_outage(left: float, cold: bool) -> None:
     """join+vast: a relay that meets a destination seldom took three refusals in a row for an outage."""
-    relay = Relay(settings(group_size=40), seed=1)
+    relay = DecisionEngine(settings(group_size=40), seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     verdicts = [api.Verdict.OK] + [api.Verdict.FULL] * 4 + [api.Verdict.OK]
     for number, verdict in enumerate(verdicts):
@@ -153,9 +153,9 @@
     assert (relay.endpoints["h1"].rate_limiter.cold_since_us >= 0) is cold
 
 
-def turned_away(told: bool, count: int) -> Relay:
+def turned_away(told: bool, count: int) -> DecisionEngine:
     """A relay that had so many connections turned away in a row, long after the last that served."""
-    relay = Relay(settings(group_size=40), seed=1)
+    relay = DecisionEngine(settings(group_size=40), seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     for number in range(count):
         now_us = (1 + number) * 60 * SECOND
@@ -176,7 +176,7 @@
 
 def closes_idle(size: int, kind: str) -> bool:
     """Whether a relay closes its connection to "h1", after one call of 20 elsewhere was turned away."""
-    relay = Relay(settings(group_size=size, rate_hints_given=True, keepalive_us=5 * SECOND), seed=1)
+    relay = DecisionEngine(settings(group_size=size, rate_hints_given=True, keepalive_us=5 * SECOND), seed=1)
     others = entry("h2", dest=2, kind=kind, rate=1000.0)
     relay.step(0, [endpoint_update(entry("h1", rate=1000.0), others)])
     closed = False
@@ -205,9 +205,9 @@
     assert paces(40, *half, every_us=SECOND)[0] < 20.0
 
 
-def limited(busy: int) -> tuple[Relay, LimiterState]:
+def limited(busy: int) -> tuple[DecisionEngine, LimiterState]:
     """One of 40 relays that had so many calls a second, for ten seconds, served within a limit of 20."""
-    relay = Relay(settings(group_size=40, slots=50), seed=1)
+    relay = DecisionEngine(settings(group_size=40, slots=50), seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     for number in range(10 * busy):
         now_us = (1 + number) * SECOND // busy
@@ -271,7 +271,7 @@
 
 def visits(dests: int) -> int:
     """Destinations looked at for one message while the others are idle."""
-    relay = Relay(settings(), seed=1)
+    relay = DecisionEngine(settings(), seed=1)
     relay.step(0, [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(dests)))])
     seen: list[str] = []
     room = relay._can_call
@@ -334,7 +334,7 @@
 
 
 def test_a_watch_that_breaks_is_asked_for_again_soon_also_by_one_of_many() -> None:
-    relay = Relay(settings(group_size=40, must_ask=True, ask_within_us=10 * SECOND), seed=1)
+    relay = DecisionEngine(settings(group_size=40, must_ask=True, ask_within_us=10 * SECOND), seed=1)
     relay.step(0, [endpoint_update(entry("h1"))])
     relay.step(SECOND, [api.EndpointUpdate(api.EndpointUpdateKind.FAILED)])
     assert relay.next_ask_us - relay.now_us < SECOND
--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from decisions import interface as api
-from decisions.engine import MAX_GONE_ENDPOINTS, Relay
+from decisions.engine import MAX_GONE_ENDPOINTS, DecisionEngine
 from relay.endpoint_list import DirectoryUpdate, ListedEndpoint
 from relay.journal import Journal
 from standins.scripted import World, soon
@@ -61,7 +61,7 @@
 
 def test_a_module_keeps_a_thousand_endpoints_that_left() -> None:
     """They all leave at once and come back: each is known, so none is taken for a new and cold one."""
-    relay = Relay(settings(group_size=MANY), 1)
+    relay = DecisionEngine(settings(group_size=MANY), 1)
     names = [f"h{number}" for number in range(MANY)]
     relay.step(0, [endpoint_update(*(entry(name, dest=at % 256) for at, name in enumerate(names)))])
     assert relay.listed_count == MANY <= MAX_GONE_ENDPOINTS
@@ -82,7 +82,7 @@
 
 def test_a_relay_of_a_thousand_calls_a_thousand_endpoints() -> None:
     """One message for each destination goes out and ends, and the module can go over to another process."""
-    relay = Relay(settings(group_size=MANY, slots=MANY, hold_cap=2 * MANY), 1)
+    relay = DecisionEngine(settings(group_size=MANY, slots=MANY, hold_cap=2 * MANY), 1)
     events: list[api.Event] = [endpoint_update(*(entry(f"h{n}", dest=n) for n in range(MANY)))]
     events += [arrival(f"m{n}", KEYED, n) for n in range(MANY)]
     out = sends(relay.step(0, events))
@@ -95,7 +95,7 @@
 
 def test_a_list_that_comes_while_slots_are_full_leaves_only_what_is_held_to_look_at() -> None:
     """Each step looks at what waits for a slot: a destination without a message must not."""
-    relay = Relay(settings(slots=2, may_cancel=False), 1)
+    relay = DecisionEngine(settings(slots=2, may_cancel=False), 1)
     many = [entry(f"h{n}", dest=n) for n in range(MANY)]
     relay.step(0, [endpoint_update(*many[:8])])
     out = sends(relay.step(5_000, [arrival(f"m{n}", KEYED, n) for n in range(4)]))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.state import Destination, Endpoint
 from tests.support import SAFE, arrival, endpoint_update, entry, sends, settings
 
@@ -64,15 +64,15 @@
 
 def test_a_full_endpoint_is_not_asked_again_for_each_held_message(monkeypatch: pytest.MonkeyPatch) -> None:
     """Day 5 of the score: with hundreds held, these questions took most of a relay's processor."""
-    relay = Relay(settings(hold_cap=1000), 1)
+    relay = DecisionEngine(settings(hold_cap=1000), 1)
     relay.step(0, [endpoint_update(entry("h1"))])
-    asked, room = [], Relay._can_call
+    asked, room = [], DecisionEngine._can_call
 
-    def counted(self: Relay, dest: Destination, endpoint: Endpoint) -> bool:
+    def counted(self: DecisionEngine, dest: Destination, endpoint: Endpoint) -> bool:
         asked.append(endpoint.host)
         return room(self, dest, endpoint)
 
-    monkeypatch.setattr(Relay, "_can_call", counted)
+    monkeypatch.setattr(DecisionEngine, "_can_call", counted)
     actions = relay.step(5_000, [arrival(f"m{number}") for number in range(500)])
     assert 0 < len(sends(actions)) < 8
     assert len(asked) <= 2 * 8
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from decisions.interface import Action, EndpointUpdate, Event, Listing
 from relay import discovery
 from relay.config import Config, load
@@ -34,7 +34,7 @@
     ]  # fmt: skip
 
 
-class CountingModule(Relay):
+class CountingModule(DecisionEngine):
     """The module, with what each step brought of the list."""
 
     def __init__(self, config: Config) -> None:
--- a/tests/test_ranked_queue.py
+++ b/tests/test_ranked_queue.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from decisions import interface as api
-from decisions.engine import REPEAT_RISKS, Relay
+from decisions.engine import REPEAT_RISKS, DecisionEngine
 from decisions.ranked_queue import DeadlineQueue, RankedMessage
 from decisions.state import Call, Destination, Endpoint, Message
 from tests.support import (
@@ -38,7 +38,7 @@
 CLASSES = (SAFE, KEYED, ZONED, UNSAFE, ORDERED, HALVED, WORTHLESS, LATE_IS_FINE)
 
 
-class Plain(Relay):
+class Plain(DecisionEngine):
     """The same relay that looks at every held message each time: slow, and easily seen to be right."""
 
     def _ranked_messages(
@@ -71,7 +71,7 @@
 
 def both(set_: api.Settings, seed: int, steps: int, clumps: int) -> int:
     """Feed one made-up day to both relays; every action is the same. The most messages that were held."""
-    rng, fast, plain = random.Random(seed), Relay(set_, seed), Plain(set_, seed)
+    rng, fast, plain = random.Random(seed), DecisionEngine(set_, seed), Plain(set_, seed)
     entries = [entry(f"h{n}", n % 3, "split" if n % 3 == 2 else "plain", zone="ab"[n % 2]) for n in range(6)]
     now_us, serial, most = 0, 0, 0
     out: list[tuple[api.Send, int]] = []
@@ -149,7 +149,7 @@
 
 def work(held: int, hosts: int = 1) -> int:
     """Calls of functions in one step that sends one message, with so many held and hosts listed."""
-    relay = Relay(settings(hold_cap=100_000, slots=2), 1)
+    relay = DecisionEngine(settings(hold_cap=100_000, slots=2), 1)
     relay.step(0, [endpoint_update(*(entry(f"h{n}", 1 + n // 2) for n in range(hosts)))])
     did = relay.step(5_000, [arrival(f"m{number}", SAFE if number % 2 else KEYED) for number in range(held)])
     called = [0]
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from decisions.engine import Relay as Module
+from decisions.engine import DecisionEngine
 from relay import config
 from relay.__main__ import serve
 from relay.journal import Journal
@@ -208,7 +208,7 @@
     def broken(*_args: object) -> None:
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(Module, "step", broken)
+    monkeypatch.setattr(DecisionEngine, "step", broken)
     cfg = config.load(world.environment())
     assert await soon(serve(cfg)) == 1
     assert "the step loop broke" in caplog.text
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from tests.support import ORDERED, SECOND, UNSAFE, ZONED, ended, endpoint_update, entry, sends, settings
 
 
@@ -13,33 +13,33 @@
 
 
 def test_a_keyed_one_goes_only_to_the_zone_of_its_first_try() -> None:
-    relay = Relay(settings(zone_fees={"a": 0.5, "b": 0.0}), 1)
+    relay = DecisionEngine(settings(zone_fees={"a": 0.5, "b": 0.0}), 1)
     hosts = endpoint_update(entry("h1", zone="a"), entry("h2", zone="b"))
     assert [s.host for s in sends(relay.step(0, [hosts, resumed(ZONED)]))] == ["h1"]
 
 
 def test_a_keyed_one_is_failed_once_its_window_is_over() -> None:
-    relay = Relay(settings(), 1)
+    relay = DecisionEngine(settings(), 1)
     actions = relay.step(20 * SECOND, [endpoint_update(entry("h1")), resumed(ZONED, ZONED.key_window_us)])
     assert api.Fail("m1") in actions
     assert sends(actions) == []
 
 
 def test_an_unsafe_one_is_failed() -> None:
-    actions = Relay(settings(), 1).step(0, [endpoint_update(entry("h1")), resumed(UNSAFE)])
+    actions = DecisionEngine(settings(), 1).step(0, [endpoint_update(entry("h1")), resumed(UNSAFE)])
     assert api.Fail("m1") in actions
     assert sends(actions) == []
 
 
 def test_all_attempts_used_up_are_not_exceeded() -> None:
     event = api.Arrival("m1", 1, UNSAFE.name, SECOND, attempts=settings().max_attempts)
-    actions = Relay(settings(), 1).step(0, [endpoint_update(entry("h1")), event])
+    actions = DecisionEngine(settings(), 1).step(0, [endpoint_update(entry("h1")), event])
     assert [type(action) for action in actions if not isinstance(action, api.Wake)] == [api.Refuse]
 
 
 def test_the_next_of_a_key_rests_after_a_try_of_the_former_life() -> None:
     """That try may still run at its host when the new life begins."""
-    relay, pause_us = Relay(settings(), 1), settings().order_pause_us
+    relay, pause_us = DecisionEngine(settings(), 1), settings().order_pause_us
     later = api.Arrival("m2", 1, ORDERED.name, 10 * SECOND, "", "k")
     first = sends(relay.step(0, [endpoint_update(entry("h1")), resumed(ORDERED, key="k"), later]))
     assert [send.id for send in first] == ["m1"]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,7 +10,7 @@
 import pytest
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from relay import discovery
 from standins.scripted import Request, World
 from tests.support import SECOND, endpoint_update, entry, settings
@@ -118,7 +118,7 @@
     for seed in range(20):
         number = seed * size // 20
         told = settings(group_size=size, number=number, must_ask=True, ask_within_us=10 * SECOND)
-        relay = Relay(told, seed=seed)
+        relay = DecisionEngine(told, seed=seed)
         relay.step(0, [endpoint_update(entry("h1"), kind=api.EndpointUpdateKind.CACHED)])
         asked_us, failing = [0], True
         while len(asked_us) < 30:
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from decisions import interface as api
-from decisions.engine import Relay
+from decisions.engine import DecisionEngine
 from standins.scripted import Request, World
 from tests.sockets import full_backlog
 from tests.support import KEYED, SECOND, arrival, ended, endpoint_update, entry, sends, settings
@@ -68,7 +68,7 @@
 
 
 def test_a_repeat_tells_how_long_it_may_begin() -> None:
-    relay = Relay(settings(), seed=1)
+    relay = DecisionEngine(settings(), seed=1)
     [first] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1", KEYED)]))
     assert first.latest_begin_us == 0
     relay.step(SECOND, [ended(first, api.Verdict.RESET)])
