--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -1,9 +1,10 @@
-"""Every decision of the relay. Its types, events and actions are in ``decisions/interface.py``, and what it
-remembers in ``decisions/state.py``.
+"""The decision engine of a relay. Its types, events and actions are in ``decisions/interface.py``, and the
+state that it keeps is in ``decisions/state.py``.
 
-The ordinary path is fetches-per-server of the FRNOG 25 BIND9 notes: each endpoint has a quota of calls in
-flight that shrinks while its failure ratio is high and regrows while it is low; a message over quota is held.
-A step takes in a batch, answers what is out of time, then dispatches once, at destinations touched or due.
+Calls are limited by fetches-per-server of the FRNOG 25 BIND9 notes: each endpoint has a quota of calls in
+flight that shrinks while its failure ratio is high and grows back while it is low; a message over quota is
+held. A step takes in a batch of events, answers the messages that are out of time, then dispatches once, at
+the destinations that an event or a due time concerns.
 """
 
 from __future__ import annotations
@@ -40,132 +41,142 @@
     Withdrawn,
 )
 from decisions.ranked_queue import DeadlineQueue, RankedMessage
-from decisions.state import Call, CallStats, DecayingCounter, Destination, Endpoint, LimiterState, Message
+from decisions.state import (
+    Call,
+    CallStats,
+    DecayingCounter,
+    Destination,
+    Endpoint,
+    LimiterState,
+    Message,
+)
 
-HEALTHY_SLOT_SHARE, FAILING_SLOT_SHARE = (
-    0.75,
-    0.5,
-)  # of slots: calls to one healthy, one failing or slow destination
-MIN_QUOTA_SHARE = 0.02  # of the starting quota: what a server that never answers keeps (the notes' 2%)
+HEALTHY_SLOT_SHARE = 0.75  # share of the slots that calls to one healthy destination may take
+# Share of the slots that calls to one failing or slow destination may take. From this share on slots count
+# as short.
+FAILING_SLOT_SHARE = 0.5
+MIN_QUOTA_SHARE = 0.02  # share of its full quota that a server which never answers keeps (the notes' 2%)
 NEWEST_CALL_WEIGHT = 0.15  # of the newest call in ratios and latencies: about seven calls of memory
-EVIDENCE_DECAY_US = 10_000_000  # us in which evidence fades to a third: ratios, own demand, a slowed pace
-QUOTA_DOWN_FAILURE_RATIO, QUOTA_UP_FAILURE_RATIO = (
-    0.3,
-    0.1,
-)  # failure ratio: above, the quota steps down; below, it steps up
-QUOTA_DOWN_FACTOR, QUOTA_UP_SHARE = 0.7, 0.1  # quota factor for a step down; share of the start for a step up
+# us in which evidence fades to a third: ratios, own demand, an allowed rate that was lowered
+EVIDENCE_DECAY_US = 10_000_000
+QUOTA_DOWN_FAILURE_RATIO = 0.3  # failure ratio above which a failure lowers the quota
+QUOTA_UP_FAILURE_RATIO = 0.1  # failure ratio below which the quota grows even with a failure
+QUOTA_DOWN_FACTOR = 0.7  # factor of the quota for a step down
+QUOTA_UP_SHARE = 0.1  # share of the full quota that a step up adds
 OUTAGE_FAILURE_RATIO = 0.5  # failure ratio above which an endpoint that does not only refuse is in an outage
-MAX_LIMIT_REPORT_AGE_US = 1_000_000  # us: news of a limit counts for no longer
+MAX_LIMIT_REPORT_AGE_US = (
+    1_000_000  # us: time since the last report of a limit counts for no longer than this
+)
 COLD_RETURN_GAP_US = 2_000_000  # us with failures and no success after which a return is taken for a cold one
-MIN_TRIAL_GAP_US, MAX_TRIAL_GAP_US = 200_000, 3_000_000  # us between trials where this relay's part is large
+MIN_TRIAL_GAP_US = 200_000  # us until the first trial after a failure, where this relay's share is large
+MAX_TRIAL_GAP_US = 3_000_000  # us between trials at most, likewise
 CONNECTION_CAP_GROWTH_US = 1_000_000  # us until one connection more is tried where one was turned away
-MAX_BURST_US = 400_000  # us of its rate that a paced limit may take at once
-OVERDUE_DEVIATIONS = (
-    4.0  # spreads over the mean: a call older than this is overdue (about 1 in 50 if exponential)
-)
+MAX_BURST_US = 400_000  # us: a limited rate may send the calls of so much time at once
+# A call older than the mean and so many deviations is overdue (about 1 in 50 if latency is exponential).
+OVERDUE_DEVIATIONS = 4.0
 REPEATABLE_TIMEOUT_OVERDUES = 2.5  # time-out of a call that may be repeated, in times of the overdue age
-UNSAFE_TIMEOUT_OVERDUES = 10.0  # time-out of one that may not, likewise; its aim at least
-LONE_HANG_OVERDUES, LONE_HANG_UNSAFE_OVERDUES = (
-    2.0,
-    4.0,
-)  # with slots short, the same where later calls were answered
-SHARE_LEFT_FACTOR = 2.0  # the pace is the whole told rate while more than one in so many of it is left
-REFUSED_RATE_FACTOR, SERVED_RATE_FACTOR = 0.8, 1.03  # pace factors: refused above a limit, and served
-MAX_SMALL_GROUP = 4  # relays of which each still sees by itself what all take together of a limit
-REPORTED_LIMIT_REFUSED_FACTOR, MIN_EQUAL_SHARE = (
-    0.6,
-    0.5,
-)  # the same where what is left is told; the least pace then, in equal parts
-MIN_ASK_GAP_US, LIST_QUEUE_US = (
-    500_000,
-    125_000,
-)  # us before a broken watch is asked for again; of a list in a queue of all
+UNSAFE_TIMEOUT_OVERDUES = 10.0  # time-out of a call that may not be repeated, likewise; at least its aim
+# With slots short, a call is given up at so many times the overdue age if the endpoint answered later calls.
+LONE_HANG_OVERDUES = 2.0
+LONE_HANG_UNSAFE_OVERDUES = 4.0  # the same for a call that may not be repeated
+# The whole advertised rate is allowed while the share left of the limit is more than one part in so many.
+SHARE_LEFT_FACTOR = 2.0
+REFUSED_RATE_FACTOR = 0.8  # factor of the allowed rate after a refusal above a limit
+SERVED_RATE_FACTOR = 1.03  # factor of the allowed rate after a success
+MAX_SMALL_GROUP = 4  # relays; in a group up to this size each sees by itself what all take of a limit
+REPORTED_LIMIT_REFUSED_FACTOR = (
+    0.6  # replaces REFUSED_RATE_FACTOR where the share left of a limit is reported
+)
+MIN_EQUAL_SHARE = 0.5  # lowest allowed rate in that case, as a share of the relay's equal part of the limit
+MIN_ASK_GAP_US = 500_000  # us before a watch that broke is asked for again
+LIST_QUEUE_US = 125_000  # us that one endpoint list takes where all relays queue for it
 AGENT_ASK_GAP_US = 250_000  # us before an agent is asked again that has the list at once when it is back
-MAX_ASK_GAP_US = (
-    5_500_000  # us between asks at most: news counts as told 6 s after the directory could be reached
+# us between asks at most: news counts as known 6 s after the directory could be reached
+MAX_ASK_GAP_US = 5_500_000
+EASE_OFF_SHARE_LEFT = 0.6  # share left of a limit below which the allowed rate is reduced
+MAX_EASE_OFF_PER_S = 0.5  # share of the allowed rate that is taken off in a second where nothing is left
+FAST_GROWTH_SHARE = 0.7  # share of the rate at the last refusal up to which the allowed rate grows fast
+FAST_GROWTH_US = 4_000_000  # us for e-fold growth up to there
+SLOW_GROWTH_US = 60_000_000  # us for e-fold growth above
+MIN_ADVERTISED_RATE = 0.1  # calls/s: an advertised rate below it is not believed
+MAX_ADVERTISED_RATE = 100_000.0  # calls/s: an advertised rate above it is not believed
+MAX_RATE_CHANGE_FACTOR = 4.0  # factor by which one report changes an advertised rate at most
+LOWERED_LIMIT_RATIO = (
+    0.75  # an advertised rate under so much of the last one is a lowered limit, and no noise
 )
-EASE_OFF_SHARE_LEFT, MAX_EASE_OFF_PER_S = (
-    0.6,
-    0.5,
-)  # where less of a limit is left the pace eases off, by up to so much in a second
-FAST_GROWTH_SHARE = 0.7  # share of a refused pace that is soon taken up again
-FAST_GROWTH_US, SLOW_GROWTH_US = 4_000_000, 60_000_000  # us for e-fold growth up to there, and above
-MIN_ADVERTISED_RATE, MAX_ADVERTISED_RATE = 0.1, 100_000.0  # calls/s that a told rate may mean
-MAX_RATE_CHANGE_FACTOR = 4.0  # factor by which one report changes a told rate at most
-LOWERED_LIMIT_RATIO = 0.75  # a told rate under so much of the last one is a lowered limit, and no noise
-TRUSTED_IDLE_DOWN_FACTOR, TRUSTED_IDLE_UP_FACTOR = (
-    0.5,
-    1.005,
-)  # factors of the trusted idle age: a reused connection cut; any other end
+TRUSTED_IDLE_DOWN_FACTOR = 0.5  # factor of the trusted idle age when a reused connection was cut
+TRUSTED_IDLE_UP_FACTOR = 1.005  # factor of the trusted idle age at any other end of a call
 STATUS_LOG_INTERVAL_US = 5_000_000  # us between log lines on destinations that hold messages
-MAX_GONE_ENDPOINTS = 1024  # endpoints that left the list and are still known
-REPEAT_RISKS = {
-    effect: float(number) for number, effect in enumerate(Effect)
-}  # the less a repeat does, the sooner
-URGENCY_HORIZON_US, WORTH_SCORE_WEIGHT = (
-    1_500_000,
-    0.2,
-)  # us ahead in which waiting loses worth; weight of the worth beside
+MAX_GONE_ENDPOINTS = 1024  # endpoints that left the list and are still remembered
+# By effect, in the order of Effect: the less harm a repeat does, the sooner the message goes in a trial.
+REPEAT_RISKS = {effect: float(number) for number, effect in enumerate(Effect)}
+URGENCY_HORIZON_US = 1_500_000  # us ahead: a message's urgency is the worth that it loses by waiting so long
+WORTH_SCORE_WEIGHT = 0.2  # weight of the worth itself beside the urgency
 
 
 class DecisionEngine:
-    """One sender. Feed it batches of events in order of time; carry out what it returns."""
+    """The decisions of one relay. Pass it batches of events in order of time; carry out what it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.rng, self.now_us, self.actions = settings, random.Random(seed), 0, list[Action]()
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.now_us = 0
+        self.actions = list[Action]()
         self.large_group = settings.group_size > MAX_SMALL_GROUP
         self.classes = {cls.name: cls for cls in settings.classes}
         self.kinds = {kind.name: kind for kind in settings.kinds}
-        self.messages, self.endpoints = dict[str, Message](), dict[str, Endpoint]()
+        self.messages = dict[str, Message]()  # by id
+        self.endpoints = dict[str, Endpoint]()  # by host
         self.busy_endpoints = dict[str, Endpoint]()  # those with calls out, by host
-        self.dests, self.banned = dict[int, Destination](), set[str]()  # banned: by operators, listed or not
+        self.dests = dict[int, Destination]()
+        self.banned = set[str]()  # hosts banned by operators, listed or not
         self.key_queues = dict[str, list[Message]]()  # by key: messages in order of arrival
         self.key_cooldown_until_us = dict[
             str, int
-        ]()  # by key: when an attempt that may still run has died down
-        self.baseline_stats: dict[str, CallStats] = {}  # by class: latency over all endpoints
+        ]()  # by key: when an attempt that may still run is surely over
+        self.baseline_stats: dict[str, CallStats] = {}  # by class, over all endpoints
+        # By tenant: its quota in messages/s across all relays, and its own arrivals here.
         self.tenant_arrivals = {
             t.name: (t.quota_per_s, DecayingCounter(EVIDENCE_DECAY_US)) for t in settings.tenants
         }
-        self.total_quota_per_s, self.arrivals = (
-            sum(t.quota_per_s for t in settings.tenants),
-            DecayingCounter(EVIDENCE_DECAY_US),
-        )
-        # The idle age that is trusted; the oldest from which a connection lately served, and when.
-        self.trusted_idle_us, self.served_idle_us, self.served_idle_at_us = (
-            float(settings.keepalive_us),
-            0.0,
-            0,
-        )
+        self.total_quota_per_s = sum(t.quota_per_s for t in settings.tenants)
+        self.arrivals = DecayingCounter(EVIDENCE_DECAY_US)
+        # Idle connections up to this age are reused; it is lowered when one turns out to be cut.
+        self.trusted_idle_us = float(settings.keepalive_us)
+        self.served_idle_us = 0.0  # the oldest idle age from which a connection lately served
+        self.served_idle_at_us = 0  # when it did
         self.connect_failures_by_kind: dict[
             str, DecayingCounter
-        ] = {}  # by kind of destination: calls that found no connection
+        ] = {}  # by kind: calls that found no connection
+        # Trials of failing endpoints that failed again: after failures other than refusals, after refusals.
         self.trial_failures = (
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
-        )  # failed, refused again
-        self.open_messages, self.calls_out, self.next_wake_us, self.hold_count, self.arrival_count = (
-            0,
-            0,
-            -1,
-            0,
-            0,
         )
-        self.first_step_us = -1  # when this life's first step was
-        # The next ask, and the gap before one after that: the first of a life often comes with all others'.
-        self.next_ask_us, self.ask_gap_us = (
-            (0 if settings.must_ask else -1),
-            max(MIN_ASK_GAP_US, self._ask_round_us),
+        self.open_messages = 0  # messages that still need an answer
+        self.calls_out = 0
+        self.next_wake_us = -1  # the wake-up asked for last
+        self.hold_count = 0  # numbers the places in the queue of held messages
+        self.arrival_count = 0
+        self.first_step_us = -1  # time of the first step of this engine (-1: none yet)
+        # When to ask for the list next (-1: never). The first ask is at once.
+        self.next_ask_us = 0 if settings.must_ask else -1
+        # us from a failed ask to the one after it. It starts at a whole round of the group, since relays are
+        # often started together and then all ask at the same time.
+        self.ask_gap_us = max(MIN_ASK_GAP_US, self._ask_round_us)
+        self.last_ask_us = 0
+        self.update_joins_late = (
+            False  # whether the last endpoint update came when endpoints were already known
         )
-        self.last_ask_us = 0  # the last ask
-        self.update_joins_late = False  # whether the latest news of the list came when others were known
         self.next_status_us = 0  # when destinations that hold messages are logged next
-        self.dests_to_check: dict[int, None] = {}  # destinations that an event or a due time touched
-        self.check_heap: list[tuple[int, int]] = []  # heap: when to look at a destination again
-        self.expiry_heap: list[tuple[int, int, str]] = []  # heap: when to answer a held message
+        self.dests_to_check: dict[int, None] = {}  # destinations that an event or a due time concerns
+        self.check_heap: list[tuple[int, int]] = []  # heap of (us, destination): when to check it again
+        self.expiry_heap: list[
+            tuple[int, int, str]
+        ] = []  # heap of (us, place, id): when to answer a held message
 
     def resume(self) -> None:
-        """Go on in another process: the wake-up that was asked for went with the old one."""
+        """Continue in another process: the wake-up asked for is lost with the old one."""
         self.next_wake_us = -1
 
     def step(self, now_us: int, events: Iterable[Event]) -> list[Action]:
@@ -189,28 +200,30 @@
         self._expire()
         if self.settings.may_cancel and self._slots_short():
             self._cancel_lone_hangs()
-        if self.calls_out < self.settings.slots:  # else what is held is looked at when a slot is free
+        if self.calls_out < self.settings.slots:  # else held messages are checked when a slot is free
             self._dispatch()
         if now_us >= self.next_status_us:
             self.next_status_us = now_us + STATUS_LOG_INTERVAL_US
             self._log_held()
             self._forget_stale()
-        if 0 <= self.next_ask_us <= now_us:  # a directory that only answers; an unanswered ask is made again
+        # Asks a directory that does not push the list; one without an answer is repeated.
+        if 0 <= self.next_ask_us <= now_us:
             self.actions.append(Subscribe())
             self.last_ask_us = now_us
             self.next_ask_us = now_us + min(MAX_ASK_GAP_US, max(2_000_000, self.settings.ask_within_us // 2))
-        times = [heap[0][0] for heap in (self.check_heap, self.expiry_heap) if heap] + [self.next_ask_us] * (
-            self.next_ask_us >= 0
-        )
-        if times and (self.next_wake_us <= now_us or min(times) < self.next_wake_us):
-            self.next_wake_us = max(min(times), now_us + self.settings.round_us)
+        due_times = [heap[0][0] for heap in (self.check_heap, self.expiry_heap) if heap] + [
+            self.next_ask_us
+        ] * (self.next_ask_us >= 0)
+        if due_times and (self.next_wake_us <= now_us or min(due_times) < self.next_wake_us):
+            self.next_wake_us = max(min(due_times), now_us + self.settings.round_us)
             self.actions.append(Wake(self.next_wake_us - now_us))
         return self.actions
 
     def _forget_stale(self) -> None:
-        """Let go of what a long life would pile up: rests that are over, endpoints and partners that left.
+        """Drop cooldowns that are over and endpoints and destinations that left the list.
 
-        An endpoint that comes back after so many others is taken for a new one, and so for a cold one.
+        They would pile up in a long-lived process. Of the endpoints that left, the latest MAX_GONE_ENDPOINTS
+        are kept. One that comes back after more than that is taken for a new one, and so for a cold one.
         """
         self.key_cooldown_until_us = {
             key: until_us for key, until_us in self.key_cooldown_until_us.items() if until_us > self.now_us
@@ -218,47 +231,51 @@
         gone = [e for e in self.endpoints.values() if e.listing is Listing.GONE and not e.calls]
         for endpoint in gone[: max(0, len(gone) - MAX_GONE_ENDPOINTS)]:
             del self.endpoints[endpoint.host], self.dests[endpoint.dest].endpoints[endpoint.host]
-        wanted = self.dests_to_check.keys() | {message.dest for message in self.messages.values()}
-        for number in [n for n, dest in self.dests.items() if not dest.endpoints and n not in wanted]:
+        needed = self.dests_to_check.keys() | {message.dest for message in self.messages.values()}
+        for number in [n for n, dest in self.dests.items() if not dest.endpoints and n not in needed]:
             del self.dests[number]
 
     def _log_held(self) -> None:
-        """A line for the people on call about each destination that holds messages: what holds them up."""
+        """Log for each destination that holds messages what limits its calls."""
         for number, dest in self.dests.items():
-            if dest.held and (ready := dest.usable_endpoints()):
-                out = f"{self.calls_out} of {self.settings.slots} slots out"
-                bears = "; ".join(map(self._describe_limits, ready))
-                self.actions.append(Log(f"dest {number} holds {len(dest.held)}, {out}; {bears}"))
+            if dest.held and (usable := dest.usable_endpoints()):
+                slots_out = f"{self.calls_out} of {self.settings.slots} slots out"
+                limits = "; ".join(map(self._describe_limits, usable))
+                self.actions.append(Log(f"dest {number} holds {len(dest.held)}, {slots_out}; {limits}"))
 
     def _describe_limits(self, endpoint: Endpoint) -> str:
-        """What bounds calls to the endpoint now, in words."""
-        guards, limit, failing = (
-            endpoint.limiters,
-            endpoint.rate_limiter,
-            endpoint.failures.hit_ratio(self.now_us),
+        """What limits calls to the endpoint now, as text for the log."""
+        limiters, rate_limiter = endpoint.limiters, endpoint.rate_limiter
+        failure_ratio = endpoint.failures.hit_ratio(self.now_us)
+        pause_us = (
+            max(max(limiter.told_wait_until_us, limiter.pause_until_us) for limiter in limiters) - self.now_us
+        )
+        latencies = (
+            "/".join(f"{stats.mean_us / 1000:.0f}" for stats in endpoint.stats_by_class.values()) or "?"
         )
-        pause_us = max(max(guard.told_wait_until_us, guard.pause_until_us) for guard in guards) - self.now_us
-        took = "/".join(f"{record.mean_us / 1000:.0f}" for record in endpoint.stats_by_class.values()) or "?"
-        most = min(endpoint.quota, self._max_connections(endpoint))
+        max_calls = min(endpoint.quota, self._max_connections(endpoint))
         return (
-            f"{endpoint.host} {len(endpoint.calls)} calls of quota {most:.1f}, took {took} ms, "
-            f"failing {failing:.2f}, strikes {max(guard.failures_in_row for guard in guards)}, "
-            f"pause {max(0, pause_us) // 1000} ms, pace {limit.allowed_rate:.1f} of {limit.advertised_rate:.1f}/s, "
-            f"demand {limit.demand.rate_per_s(self.now_us, self.first_step_us):.1f}/s, "
-            f"suspect {self._has_overdue_call(endpoint)}, cold {any(guard.cold_since_us >= 0 for guard in guards)}"
+            f"{endpoint.host} {len(endpoint.calls)} calls of quota {max_calls:.1f}, took {latencies} ms, "
+            f"failing {failure_ratio:.2f}, strikes {max(limiter.failures_in_row for limiter in limiters)}, "
+            f"pause {max(0, pause_us) // 1000} ms, "
+            f"pace {rate_limiter.allowed_rate:.1f} of {rate_limiter.advertised_rate:.1f}/s, "
+            f"demand {rate_limiter.demand.rate_per_s(self.now_us, self.first_step_us):.1f}/s, "
+            f"suspect {self._has_overdue_call(endpoint)}, "
+            f"cold {any(limiter.cold_since_us >= 0 for limiter in limiters)}"
         )
 
     @property
     def _ask_round_us(self) -> int:
-        """Time in which each relay of the group can ask the directory once."""
+        """Time in us in which each relay of the group can ask the directory once."""
         return LIST_QUEUE_US * self.settings.group_size
 
     def _retry_ask_at_us(self) -> int:
         """When to ask again after an ask that failed or a watch that broke.
 
-        The directory may be back right behind the ask that failed, and what it has counts from then. So no
-        two asks lie farther apart than that; a group that cannot wait for its turns asks in a fixed order.
-        Where the list is pushed what the agent has counts at once, and whoever asks it asks nobody else.
+        The directory may become reachable right after the failed ask, and its news counts from then. So two
+        asks are never more than MAX_ASK_GAP_US apart, and a group too large to take turns within that time
+        asks in a fixed order by relay number. Where the list is pushed to an agent, what the agent has counts
+        at once, and asking the agent takes no turn from other relays.
         """
         if self.settings.list_pushed:
             return self.now_us + int(AGENT_ASK_GAP_US * self.rng.uniform(0.2, 1.8))
@@ -272,21 +289,21 @@
         return self.now_us + (turn_us - spent_us if turn_us > spent_us else left_us * turn_us // spent_us)
 
     def _apply_endpoint_update(self, event: EndpointUpdate) -> None:
-        """Follow the directory; where it must be asked, a failed or broken watch is asked for again."""
+        """Apply news of the endpoint list; where the list must be asked for, schedule the next ask."""
         if event.kind is EndpointUpdateKind.FAILED:
             if self.settings.must_ask:
                 self.next_ask_us = self._retry_ask_at_us()
-                longest_us = max(MIN_ASK_GAP_US, self.settings.ask_within_us // 4, 2 * self._ask_round_us)
-                self.ask_gap_us = min(max(2 * self.ask_gap_us, self._ask_round_us), longest_us)
+                max_gap_us = max(MIN_ASK_GAP_US, self.settings.ask_within_us // 4, 2 * self._ask_round_us)
+                self.ask_gap_us = min(max(2 * self.ask_gap_us, self._ask_round_us), max_gap_us)
             return
         if event.kind is not EndpointUpdateKind.CACHED:
             self.next_ask_us, self.ask_gap_us = -1, MIN_ASK_GAP_US
-        named = {entry.host for entry in event.entries}
+        listed_hosts = {entry.host for entry in event.entries}
         for host, endpoint in self.endpoints.items() if event.kind is not EndpointUpdateKind.CHANGES else ():
-            endpoint.listing = endpoint.listing if host in named else Listing.GONE
-        start = max(1, int(HEALTHY_SLOT_SHARE * self.settings.slots))
-        later = self.update_joins_late if event.continued else bool(self.endpoints)
-        self.update_joins_late = later
+            endpoint.listing = endpoint.listing if host in listed_hosts else Listing.GONE
+        full_quota = max(1, int(HEALTHY_SLOT_SHARE * self.settings.slots))
+        joins_late = self.update_joins_late if event.continued else bool(self.endpoints)
+        self.update_joins_late = joins_late
         for entry in event.entries:
             dest = self.dests.setdefault(entry.dest, Destination(LimiterState(EVIDENCE_DECAY_US)))
             known, kind = (
@@ -297,7 +314,7 @@
                 if known is not None:  # the host moved: calls out are settled with the old endpoint
                     del self.dests[known.dest].endpoints[entry.host]
                     self.busy_endpoints.pop(entry.host, None)
-                # One that comes later may be new and cold: its quota grows from one call with its successes.
+                # One that joins late may be new and cold: its quota grows from one call with its successes.
                 known = Endpoint(
                     entry,
                     kind,
@@ -305,7 +322,11 @@
                     LimiterState(EVIDENCE_DECAY_US),
                     DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
                 )
-                known.full_quota, known.quota, known.joined_late = start, 1 if later else start, later
+                known.full_quota, known.quota, known.joined_late = (
+                    full_quota,
+                    1 if joins_late else full_quota,
+                    joins_late,
+                )
                 self.endpoints[entry.host] = dest.endpoints[entry.host] = known
             known.listing, known.banned = entry.listing, entry.host in self.banned
             self._mark_for_check(entry.dest)
@@ -315,7 +336,7 @@
                 )
 
     def _apply_ban(self, event: Ban) -> None:
-        """Leave an endpoint out, or use it again: it was restarted meanwhile and comes back cold."""
+        """Exclude an endpoint, or use it again: it was restarted meanwhile and comes back cold."""
         (self.banned.add if event.banned else self.banned.discard)(event.host)
         if (endpoint := self.endpoints.get(event.host)) is None or endpoint.banned == event.banned:
             return
@@ -327,152 +348,165 @@
 
     @property
     def listed_count(self) -> int:
-        """Endpoints on the list."""
+        """Number of endpoints on the list."""
         return sum(e.listing is not Listing.GONE for e in self.endpoints.values())
 
     @property
     def excluded_count(self) -> int:
-        """Listed endpoints that get no ordinary traffic now: banned, draining, or failing."""
+        """Number of listed endpoints that get no ordinary traffic now: banned, draining, or failing."""
         listed = [e for e in self.endpoints.values() if e.listing is not Listing.GONE]
         return sum(e.banned or e.listing is Listing.DRAINING or self._is_failing(e) for e in listed)
 
     def _apply_advertised_rate(
-        self, limit: LimiterState, rate: float | None, left: float | None = None
+        self, limiter: LimiterState, rate: float | None, share_left: float | None = None
     ) -> None:
-        """A rate told for all relays bounds the pace; the share of it that is left shows what others use.
+        """Apply a reported limit in calls/s for all relays, and the share of it that is left (0 to 1).
 
-        A rate that no partner can mean counts as not told, and one far from the last counts in steps: taken
-        at its word, a single absurd report would end all calls for good, or open the pace without bound.
+        The limit bounds the allowed rate; the share left shows what other relays use. A rate outside
+        MIN_ADVERTISED_RATE to MAX_ADVERTISED_RATE counts as not reported, and one far from the last is
+        approached in steps: taken literally, a single absurd report would end all calls for good, or raise
+        the allowed rate without bound.
         """
         if rate and MIN_ADVERTISED_RATE <= rate <= MAX_ADVERTISED_RATE:
-            if limit.advertised_rate:
+            if limiter.advertised_rate:
                 rate = min(
-                    max(rate, limit.advertised_rate / MAX_RATE_CHANGE_FACTOR),
-                    limit.advertised_rate * MAX_RATE_CHANGE_FACTOR,
+                    max(rate, limiter.advertised_rate / MAX_RATE_CHANGE_FACTOR),
+                    limiter.advertised_rate * MAX_RATE_CHANGE_FACTOR,
                 )
             if (
-                not limit.advertised_rate
+                not limiter.advertised_rate
             ):  # a first guess: what the group's equal parts leave to one that is busy
-                limit.allowed_rate, limit.allowed_rate_at_us = (
+                limiter.allowed_rate, limiter.allowed_rate_at_us = (
                     rate * min(1.0, 2 / self.settings.group_size**0.5),
                     self.now_us,
                 )
             elif self.large_group:
-                if (
-                    rate < LOWERED_LIMIT_RATIO * limit.advertised_rate
-                ):  # the pace may lie far above what it was used for
-                    limit.allowed_rate = min(limit.allowed_rate, self._limit_share(limit))
-                limit.allowed_rate, limit.rate_at_last_refusal = (
-                    limit.allowed_rate * rate / limit.advertised_rate,
-                    limit.rate_at_last_refusal * rate / limit.advertised_rate,
+                # The allowed rate may lie far above what was used of it; a lowered limit lowers the use too.
+                if rate < LOWERED_LIMIT_RATIO * limiter.advertised_rate:
+                    limiter.allowed_rate = min(limiter.allowed_rate, self._limit_share(limiter))
+                limiter.allowed_rate, limiter.rate_at_last_refusal = (
+                    limiter.allowed_rate * rate / limiter.advertised_rate,
+                    limiter.rate_at_last_refusal * rate / limiter.advertised_rate,
                 )
-            limit.advertised_rate = rate
-            if left is not None and 0 <= left <= 1:
-                self._adjust_to_share_left(limit, left)
+            limiter.advertised_rate = rate
+            if share_left is not None and 0 <= share_left <= 1:
+                self._adjust_to_share_left(limiter, share_left)
 
-    def _shares_reported_limit(self, limit: LimiterState) -> bool:
-        """Whether the pace is one of many that share what is told to be left of a limit."""
-        return self.large_group and limit.share_left_at_us >= 0
+    def _shares_reported_limit(self, limiter: LimiterState) -> bool:
+        """Whether a large group shares the limit and the share left of it has been reported."""
+        return self.large_group and limiter.share_left_at_us >= 0
 
-    def _adjust_to_share_left(self, limit: LimiterState, left: float) -> None:
-        """Ease off where little is left of a limit, and take no more of the rest than many can take together.
+    def _adjust_to_share_left(self, limiter: LimiterState, share_left: float) -> None:
+        """Lower the allowed rate where little is left of a limit, and raise it no more than all relays can.
 
-        All relays read the same news, and calls that are refused use the limit up too. So with many no more
-        than an equal part comes back at once; the rest grows with time. A few see soon what they take.
+        All relays read the same report, and refused calls use the limit up too. So in a large group only an
+        equal part of what is left is taken at once, and the rest grows with time. A small group sees the
+        effect of its calls soon, and each of its relays may take all that is left.
         """
-        equal, bound = (
-            limit.advertised_rate / self.settings.group_size,
-            min(1.0, SHARE_LEFT_FACTOR * left) * limit.advertised_rate,
-        )
+        equal_rate = limiter.advertised_rate / self.settings.group_size
+        max_rate = min(1.0, SHARE_LEFT_FACTOR * share_left) * limiter.advertised_rate
         since_us = (
-            min(MAX_LIMIT_REPORT_AGE_US, self.now_us - limit.share_left_at_us)
-            if limit.share_left_at_us >= 0
+            min(MAX_LIMIT_REPORT_AGE_US, self.now_us - limiter.share_left_at_us)
+            if limiter.share_left_at_us >= 0
             else 0
         )
-        pace = self._grown_allowed_rate(limit)
-        if left < EASE_OFF_SHARE_LEFT and self.large_group:
-            ease = MAX_EASE_OFF_PER_S * (1 - left / EASE_OFF_SHARE_LEFT) * since_us / MAX_LIMIT_REPORT_AGE_US
-            pace = min(pace, SHARE_LEFT_FACTOR * self._limit_share(limit)) * (1 - ease)
-        if not limit.failures_in_row:
-            pace = max(pace, bound / self.settings.group_size if self.large_group else bound)
-        limit.allowed_rate, limit.share_left_at_us = min(pace, max(equal, bound)), self.now_us
-
-    def _lower_allowed_rate(self, limit: LimiterState) -> None:
-        """Refused above a limit: fall under the pace that was too much, and remember that one.
-
-        A told rate may hold no more, or others use it up. With many the equal part is the only floor:
-        what each was served before a limit fell comes in the sum to more than it bears now.
+        rate = self._grown_allowed_rate(limiter)
+        if share_left < EASE_OFF_SHARE_LEFT and self.large_group:
+            reduction = (
+                MAX_EASE_OFF_PER_S
+                * (1 - share_left / EASE_OFF_SHARE_LEFT)
+                * since_us
+                / MAX_LIMIT_REPORT_AGE_US
+            )
+            rate = min(rate, SHARE_LEFT_FACTOR * self._limit_share(limiter)) * (1 - reduction)
+        if not limiter.failures_in_row:
+            rate = max(rate, max_rate / self.settings.group_size if self.large_group else max_rate)
+        limiter.allowed_rate, limiter.share_left_at_us = min(rate, max(equal_rate, max_rate)), self.now_us
+
+    def _lower_allowed_rate(self, limiter: LimiterState) -> None:
+        """After a refusal above a limit, go below the rate that was too much, and remember that rate.
+
+        The advertised rate may no longer hold, or other relays use it up. In a large group the equal part is
+        the only floor: what each relay was served before a limit fell adds up to more than it allows now.
         """
-        knee = min(self._grown_allowed_rate(limit), self._limit_share(limit))
-        if self._shares_reported_limit(limit):
-            limit.allowed_rate = max(
-                REPORTED_LIMIT_REFUSED_FACTOR * knee,
-                MIN_EQUAL_SHARE * limit.advertised_rate / self.settings.group_size,
+        refused_rate = min(self._grown_allowed_rate(limiter), self._limit_share(limiter))
+        if self._shares_reported_limit(limiter):
+            limiter.allowed_rate = max(
+                REPORTED_LIMIT_REFUSED_FACTOR * refused_rate,
+                MIN_EQUAL_SHARE * limiter.advertised_rate / self.settings.group_size,
             )
         else:
-            served = limit.served.rate_per_s(self.now_us, self.first_step_us)
-            limit.allowed_rate = max(REFUSED_RATE_FACTOR * knee, 0.5 * served, 1e6 / MAX_TRIAL_GAP_US)
-        limit.rate_at_last_refusal = (
-            knee if limit.rate_at_last_refusal == math.inf else (knee + limit.rate_at_last_refusal) / 2
+            served_rate = limiter.served.rate_per_s(self.now_us, self.first_step_us)
+            limiter.allowed_rate = max(
+                REFUSED_RATE_FACTOR * refused_rate, 0.5 * served_rate, 1e6 / MAX_TRIAL_GAP_US
+            )
+        limiter.rate_at_last_refusal = (
+            refused_rate
+            if limiter.rate_at_last_refusal == math.inf
+            else (refused_rate + limiter.rate_at_last_refusal) / 2
         )
-        limit.last_refusal_us = self.now_us
+        limiter.last_refusal_us = self.now_us
 
     def _accept(self, event: Arrival) -> None:
+        """Take on a message and hold it; one of an unknown class or with a known id is ignored."""
         if (cls := self.classes.get(event.cls)) is None or event.id in self.messages:
             return
         worth = cls.worth
         self.arrivals.add(False, self.now_us)
-        if (
-            event.tenant in self.tenant_arrivals
-        ):  # beyond its part of this relay's own traffic it is worth little
-            quota, own = self.tenant_arrivals[event.tenant]
-            own.add(False, self.now_us)
-            part = (
+        # Messages beyond the tenant's share of this relay's traffic are worth only over_share_worth of it.
+        if event.tenant in self.tenant_arrivals:
+            quota_per_s, tenant_counter = self.tenant_arrivals[event.tenant]
+            tenant_counter.add(False, self.now_us)
+            share_per_s = (
                 self.arrivals.rate_per_s(self.now_us, self.first_step_us)
-                * quota
-                / max(quota, self.total_quota_per_s)
+                * quota_per_s
+                / max(quota_per_s, self.total_quota_per_s)
             )
-            part = max(part, quota / self.settings.group_size)
+            share_per_s = max(share_per_s, quota_per_s / self.settings.group_size)
             if (
-                self.rng.random() * own.rate_per_s(self.now_us, self.first_step_us)
-                > part + 2e6 / EVIDENCE_DECAY_US
+                self.rng.random() * tenant_counter.rate_per_s(self.now_us, self.first_step_us)
+                > share_per_s + 2e6 / EVIDENCE_DECAY_US
             ):
                 worth *= self.settings.over_share_worth
         message = self.messages[event.id] = Message(event, cls, self.now_us, worth)
         self.open_messages, self.arrival_count = self.open_messages + 1, self.arrival_count + 1
         message.arrival_number = self.arrival_count
         dest = self.dests.setdefault(event.dest, Destination(LimiterState(EVIDENCE_DECAY_US)))
-        for limit in (
-            limits := {id(e.rate_limiter): e.rate_limiter for e in dest.usable_endpoints()}
+        for limiter in (
+            limiters := {id(e.rate_limiter): e.rate_limiter for e in dest.usable_endpoints()}
         ).values():
-            limit.demand.add(False, self.now_us, 1 / len(limits))
+            limiter.demand.add(False, self.now_us, 1 / len(limiters))
         if message.key:
             self.key_queues.setdefault(message.key, []).append(message)
-            if message.uncertain_since_us >= 0:  # a try of a former life may still run
+            if message.uncertain_since_us >= 0:  # an attempt of this relay's previous process may still run
                 self.key_cooldown_until_us[message.key] = self.now_us + self.settings.order_pause_us
         self._hold(message)
 
     def _hold(self, message: Message) -> None:
-        """Keep it for the dispatch, and note when it has to be answered."""
+        """Keep a message for the dispatch, and note when it has to be answered."""
         self.hold_count += 1
         self.dests[message.dest].hold(message, self.hold_count)
         self.dests_to_check[message.dest] = None
         heapq.heappush(self.expiry_heap, (self._answer_by_us(message), self.hold_count, message.id))
 
     def _answer_by_us(self, message: Message) -> int:
-        """When its time or window covers no further call."""
-        cls, risky = message.cls, message.uncertain_since_us >= 0
-        if message.attempts >= self.settings.max_attempts or (risky and cls.effect is Effect.UNSAFE):
+        """From when on the message's remaining time or its key's window allows no further call."""
+        cls, uncertain = message.cls, message.uncertain_since_us >= 0
+        if message.attempts >= self.settings.max_attempts or (uncertain and cls.effect is Effect.UNSAFE):
             return self.now_us
-        end = message.deadline_us - self._min_call_us(cls)
-        return min(end, self._key_window_end_us(message)) if risky and cls.effect is Effect.KEYED else end
+        end_us = message.deadline_us - self._min_call_us(cls)
+        return (
+            min(end_us, self._key_window_end_us(message))
+            if uncertain and cls.effect is Effect.KEYED
+            else end_us
+        )
 
     def _key_window_end_us(self, message: Message) -> int:
         """When a keyed message that may have run may no longer be repeated."""
         return message.uncertain_since_us + message.cls.key_window_us - self.settings.round_us
 
     def _min_call_us(self, cls: MessageClass) -> int:
-        """Time that a further call takes at least."""
+        """Time in us that a further call takes at least."""
         return int(max(4 * self.settings.round_us, self._class_stats(cls).mean_us / 2))
 
     def _slots_short(self) -> bool:
@@ -480,28 +514,28 @@
         return self.calls_out >= FAILING_SLOT_SHARE * self.settings.slots
 
     def _cancel_lone_hangs(self) -> None:
-        """Give up calls that hang alone: overdue, while the endpoint has answered what was sent later.
+        """Give up overdue calls at endpoints that have answered calls sent later.
 
-        A connection that fell quiet says nothing of the endpoint, and others wait for the slot. A call ends
-        whole, since a message is out as long as its call is.
+        Such a hang is the connection's and says nothing of the endpoint, while other messages wait for the
+        slot. All messages of a call are cancelled together, since each is out as long as its call is.
         """
         for endpoint in self.busy_endpoints.values():
             for call in endpoint.calls:
                 age_us = self.now_us - call.sent_us
-                passed = (
+                hangs_alone = (
                     call.sent_us < endpoint.latest_answered_send_us
                     and age_us > LONE_HANG_OVERDUES * call.overdue_after_us
                 )
-                if call.given_up or not passed:
+                if call.given_up or not hangs_alone:
                     continue
-                out = self._messages_of_call(call)
-                last = any(m.cls.effect is Effect.UNSAFE for m, _ in out)
-                call.given_up = not last or age_us > LONE_HANG_UNSAFE_OVERDUES * call.overdue_after_us
+                attempts = self._messages_of_call(call)
+                unsafe = any(m.cls.effect is Effect.UNSAFE for m, _ in attempts)
+                call.given_up = not unsafe or age_us > LONE_HANG_UNSAFE_OVERDUES * call.overdue_after_us
                 if call.given_up:
-                    self.actions += [Cancel(message.id, attempt) for message, attempt in out]
+                    self.actions += [Cancel(message.id, attempt) for message, attempt in attempts]
 
     def _messages_of_call(self, call: Call) -> list[tuple[Message, int]]:
-        """The messages that are out with a call, in the order in which they came."""
+        """The messages that are out with a call and their attempt numbers, in order of arrival."""
         known = [
             (self.messages[name], n) for name, n in call.attempt_by_message.items() if name in self.messages
         ]
@@ -511,12 +545,14 @@
         )
 
     def _apply_outcome(self, event: Outcome) -> None:
-        """Settle one attempt: its call, the endpoint's figures, then the message."""
+        """Settle one attempt: its call, the endpoint's statistics, then the message."""
         message = self.messages.get(event.id)
         if message is None or (call := message.open_calls.pop(event.attempt, None)) is None:
             return
         if call.given_up and event.verdict is Verdict.CANCELLED:
-            event = replace(event, verdict=Verdict.TIMEOUT)  # its time-out come early
+            event = replace(
+                event, verdict=Verdict.TIMEOUT
+            )  # cancelled for hanging: counts as an early time-out
         endpoint, verdict = call.endpoint, event.verdict
         self._mark_for_check(message.dest)
         endpoint.rate_limiter.told_wait_until_us = max(
@@ -532,15 +568,17 @@
             self._apply_advertised_rate(endpoint.rate_limiter, event.limit_per_s, event.limit_share_left)
             if verdict not in (Verdict.CANCELLED, Verdict.NOT_SENT):
                 self._update_statistics(call, message, event)
-            # Many relays' idle connections fill a small table: close one that will hardly serve again.
-            # Who holds one is seldom turned away: the more relays, the rarer the sign that each of them gets.
-            crowd = self.connect_failures_by_kind.setdefault(
+            # Many relays' idle connections fill a server's small connection table, so one that will hardly
+            # be used again is closed. A relay that holds a connection is seldom turned away: the more relays,
+            # the rarer is that sign for each of them, so the threshold falls with the group's size.
+            connect_failures = self.connect_failures_by_kind.setdefault(
                 endpoint.kind.name, DecayingCounter(EVIDENCE_DECAY_US)
             )
-            crowd.add(verdict is Verdict.CONNECT_FAILED, self.now_us)
-            rare = self._rate_share(endpoint, endpoint.own_limiter) * self.settings.keepalive_us < 1e6
+            connect_failures.add(verdict is Verdict.CONNECT_FAILED, self.now_us)
+            rarely_used = self._rate_share(endpoint, endpoint.own_limiter) * self.settings.keepalive_us < 1e6
             if not endpoint.calls and (
-                rare or crowd.hit_ratio(self.now_us) > QUOTA_UP_FAILURE_RATIO / self.settings.group_size
+                rarely_used
+                or connect_failures.hit_ratio(self.now_us) > QUOTA_UP_FAILURE_RATIO / self.settings.group_size
             ):
                 self.actions.append(CloseIdle(endpoint.host))
                 endpoint.last_call_end_us = 0
@@ -552,11 +590,13 @@
                 self.key_cooldown_until_us[message.key] = self.now_us + self.settings.order_pause_us
         if event.complete or message.done:
             self._close(message)
-        elif not message.open_calls:  # held again; what may not be repeated is answered after the whole batch
+        elif (
+            not message.open_calls
+        ):  # held again; one that may not be repeated is answered after the whole batch
             self._hold(message)
 
     def _update_statistics(self, call: Call, message: Message, event: Outcome) -> None:
-        """What the end of a call says of its connection, its class there, its endpoint and its limit."""
+        """Update connection, class, endpoint and limiter state from the end of a call."""
         endpoint, verdict, name = call.endpoint, event.verdict, message.cls.name
         usual_us, failed = self._call_stats(message, endpoint).mean_us, verdict is not Verdict.OK
         lost = verdict in (Verdict.RESET, Verdict.TIMEOUT)
@@ -571,40 +611,39 @@
         for table in (
             (endpoint.stats_by_class, self.baseline_stats) if not failed else (endpoint.stats_by_class,)
         ):
-            record = table.setdefault(name, self._initial_stats(usual_us if failed else event.elapsed_us))
+            stats = table.setdefault(name, self._initial_stats(usual_us if failed else event.elapsed_us))
             if not failed:
-                record.update_latency(event.elapsed_us, NEWEST_CALL_WEIGHT)
+                stats.update_latency(event.elapsed_us, NEWEST_CALL_WEIGHT)
         self._update_quota(endpoint, failed)
         if verdict is not Verdict.FULL:
             endpoint.stats_by_class[name].failures.add(failed, self.now_us)
         if failed:
-            guard = endpoint.rate_limiter if verdict is Verdict.FULL else endpoint.own_limiter
-            self._record_failure(call, guard, event)
+            limiter = endpoint.rate_limiter if verdict is Verdict.FULL else endpoint.own_limiter
+            self._record_failure(call, limiter, event)
             return
         endpoint.latest_answered_send_us, endpoint.connection_rejections = (
             max(endpoint.latest_answered_send_us, call.sent_us),
             0,
         )
-        trials = [g for g in endpoint.limiters if g.failures_in_row]
-        few = (
-            1 if self.large_group else 2
-        )  # failures in a row that are an outage: a relay of many sees fewer of it
+        tried = [limiter for limiter in endpoint.limiters if limiter.failures_in_row]
+        # More failures in a row than this are an outage; a relay of a large group sees fewer of the calls.
+        max_failures = 1 if self.large_group else 2
         outage = any(
-            g.failures_in_row > few
-            or self.trial_failures[g.last_failure_was_refusal].hit_ratio(self.now_us) > OUTAGE_FAILURE_RATIO
-            for g in trials
+            limiter.failures_in_row > max_failures
+            or self.trial_failures[limiter.last_failure_was_refusal].hit_ratio(self.now_us)
+            > OUTAGE_FAILURE_RATIO
+            for limiter in tried
         )
-        for guard in trials:
-            self.trial_failures[guard.last_failure_was_refusal].add(False, self.now_us)
-        for guard in endpoint.limiters:
-            if outage and self.now_us - guard.last_success_us > COLD_RETURN_GAP_US:
-                guard.cold_since_us = (
-                    self.now_us
-                )  # back from an outage: from now its part of what a cold server bears
-                self._space_cold_calls(endpoint, guard, self.rng.random())
-            guard.last_success_us, guard.failures_in_row = self.now_us, 0
-            if self.now_us - guard.cold_since_us > self.settings.warm_within_us:
-                guard.cold_since_us = -1
+        for limiter in tried:
+            self.trial_failures[limiter.last_failure_was_refusal].add(False, self.now_us)
+        for limiter in endpoint.limiters:
+            if outage and self.now_us - limiter.last_success_us > COLD_RETURN_GAP_US:
+                # Back from an outage: calls now keep to this relay's part of what a cold server takes.
+                limiter.cold_since_us = self.now_us
+                self._space_cold_calls(endpoint, limiter, self.rng.random())
+            limiter.last_success_us, limiter.failures_in_row = self.now_us, 0
+            if self.now_us - limiter.cold_since_us > self.settings.warm_within_us:
+                limiter.cold_since_us = -1
         endpoint.rate_limiter.served.add(False, self.now_us)
         if not self._shares_reported_limit(endpoint.rate_limiter):
             endpoint.rate_limiter.allowed_rate = (
@@ -612,18 +651,24 @@
             )
 
     def _is_idle_cut(self, call: Call, lost: bool) -> bool:
-        """Whether idleness may have cut the call's connection: none that was idle as long served lately.
+        """Whether the call may be lost because its connection was cut while idle.
 
-        A call that is lost on a connection idle for less than another that served was lost for another cause;
-        to close idle connections for it only costs new ones, and hosts hold only so many.
+        That is so if no connection that was idle as long has served lately. A call lost on a connection that
+        was idle for less has another cause; closing idle connections for it would only cost new ones, and
+        hosts accept a limited number.
         """
-        sound_us = self.served_idle_us * math.exp((self.served_idle_at_us - self.now_us) / EVIDENCE_DECAY_US)
+        served_idle_us = self.served_idle_us * math.exp(
+            (self.served_idle_at_us - self.now_us) / EVIDENCE_DECAY_US
+        )
         if not lost:
-            self.served_idle_us, self.served_idle_at_us = max(sound_us, call.connection_idle_us), self.now_us
-        return lost and call.connection_idle_us > sound_us
+            self.served_idle_us, self.served_idle_at_us = (
+                max(served_idle_us, call.connection_idle_us),
+                self.now_us,
+            )
+        return lost and call.connection_idle_us > served_idle_us
 
     def _update_quota(self, endpoint: Endpoint, failed: bool) -> None:
-        """The notes' rule: average the failure ratio and step the quota by its marks."""
+        """Average the failure ratio and step the quota down or up by it (the rule of the BIND9 notes)."""
         endpoint.failures.add(failed, self.now_us)
         if failed and endpoint.failures.hit_ratio(self.now_us) > QUOTA_DOWN_FAILURE_RATIO:
             endpoint.quota = max(MIN_QUOTA_SHARE * endpoint.full_quota, endpoint.quota * QUOTA_DOWN_FACTOR)
@@ -631,148 +676,176 @@
             endpoint.quota = min(endpoint.full_quota, endpoint.quota + QUOTA_UP_SHARE * endpoint.full_quota)
 
     def _has_overdue_call(self, endpoint: Endpoint) -> bool:
-        """Whether a call is overdue and no answer came since: a hang, seen before its time-outs."""
+        """Whether a call is overdue and no success came since: detects a hang before its calls time out."""
         if not endpoint.calls:
             return False
-        ok_us = endpoint.rate_limiter.last_success_us
-        return any(self.now_us - c.sent_us > c.overdue_after_us >= ok_us - c.sent_us for c in endpoint.calls)
+        last_success_us = endpoint.rate_limiter.last_success_us
+        return any(
+            self.now_us - c.sent_us > c.overdue_after_us >= last_success_us - c.sent_us
+            for c in endpoint.calls
+        )
 
     def _is_failing(self, endpoint: Endpoint) -> bool:
-        for guard in endpoint.limiters:  # mostly without a strike, and asked for often
-            if guard.failures_in_row > 1:
+        """Whether calls there failed twice in a row, or once while most trials fail."""
+        # A plain loop: this is called often, and mostly without a failure to look at.
+        for limiter in endpoint.limiters:
+            if limiter.failures_in_row > 1:
                 return True
             if (
-                guard.failures_in_row
-                and self.trial_failures[guard.last_failure_was_refusal].hit_ratio(self.now_us)
+                limiter.failures_in_row
+                and self.trial_failures[limiter.last_failure_was_refusal].hit_ratio(self.now_us)
                 > OUTAGE_FAILURE_RATIO
             ):
                 return True
         return False
 
-    def _record_failure(self, call: Call, guard: LimiterState, event: Outcome) -> None:
-        """A strike, and a pause before the next trial that grows with the outage's age.
+    def _record_failure(self, call: Call, limiter: LimiterState, event: Outcome) -> None:
+        """Count a failure, and pause until the next trial; pauses grow with the age of an outage.
 
-        A refusal that tells of a limit with little left is no sign of an outage, however often it comes: a
-        relay of many has few successes between them. It slows the pace, and counts as one strike at most.
+        A refusal that reports a limit with little left is no sign of an outage, however often it comes: a
+        relay of a large group has few successes in between. It lowers the allowed rate, and counts as one
+        failure in a row at most.
         """
         endpoint, sent_us, verdict = call.endpoint, call.sent_us, event.verdict
-        refused, beside = verdict is Verdict.FULL, self.now_us - guard.last_success_us < COLD_RETURN_GAP_US
-        if event.connections_full or (beside and verdict is Verdict.CONNECT_FAILED):
-            # A connection limit, by the endpoint's word or by what else serves there: fewer calls, no strike.
+        refused, served_lately = (
+            verdict is Verdict.FULL,
+            self.now_us - limiter.last_success_us < COLD_RETURN_GAP_US,
+        )
+        if event.connections_full or (served_lately and verdict is Verdict.CONNECT_FAILED):
+            # A connection limit, by the endpoint's word or as other calls are served there: fewer calls at
+            # once, and no failure is counted.
             endpoint.connection_cap, endpoint.connection_cap_at_us = (
                 min(self._max_connections(endpoint), max(1, call.calls_beside)),
                 self.now_us,
             )
-            if guard.last_success_us < sent_us:  # nothing shows yet that other connections serve meanwhile
+            if limiter.last_success_us < sent_us:  # nothing shows yet that other connections serve meanwhile
                 pause_us = MIN_TRIAL_GAP_US
                 if event.connections_full:
-                    usual_us = min(
+                    mean_pause_us = min(
                         MIN_TRIAL_GAP_US * 2.0 ** min(endpoint.connection_rejections, 10), MAX_TRIAL_GAP_US
                     )
-                    pause_us = int(usual_us * self.rng.uniform(0.5, 1.5))
+                    pause_us = int(mean_pause_us * self.rng.uniform(0.5, 1.5))
                     endpoint.connection_rejections += 1
-                guard.pause_until_us = max(guard.pause_until_us, self.now_us + pause_us)
+                limiter.pause_until_us = max(limiter.pause_until_us, self.now_us + pause_us)
             return
-        if (
-            not refused and endpoint.failures.hit_ratio(self.now_us) > OUTAGE_FAILURE_RATIO
-        ):  # most calls failing: an outage too
-            guard.cold_since_us = self.now_us
-        used_up = (
+        # Where most calls fail this is an outage too, even if some are served.
+        if not refused and endpoint.failures.hit_ratio(self.now_us) > OUTAGE_FAILURE_RATIO:
+            limiter.cold_since_us = self.now_us
+        limit_used_up = (
             refused
             and self.large_group
             and bool(event.limit_per_s)
             and SHARE_LEFT_FACTOR * (event.limit_share_left or 0.0) < 1
         )
-        if guard.failures_in_row and sent_us > guard.last_failure_us and not used_up:
+        if limiter.failures_in_row and sent_us > limiter.last_failure_us and not limit_used_up:
             self.trial_failures[refused].add(True, self.now_us)
-        if sent_us > guard.last_failure_us or not guard.failures_in_row:
-            strikes = max(1, guard.failures_in_row) if used_up else guard.failures_in_row + 1
-            guard.failures_in_row, guard.last_failure_us, guard.last_failure_was_refusal = (
-                strikes,
+        if sent_us > limiter.last_failure_us or not limiter.failures_in_row:
+            failures_in_row = (
+                max(1, limiter.failures_in_row) if limit_used_up else limiter.failures_in_row + 1
+            )
+            limiter.failures_in_row, limiter.last_failure_us, limiter.last_failure_was_refusal = (
+                failures_in_row,
                 self.now_us,
                 refused,
             )
             if refused:
-                self._lower_allowed_rate(guard)
-            if guard.failures_in_row == 3:
+                self._lower_allowed_rate(limiter)
+            if limiter.failures_in_row == 3:
                 self.actions.append(Log(f"{endpoint.host} failing: {verdict.value}, paced"))
-        # While most trials fail, this is an outage, and the group's trials together have to fit what a cold
-        # server bears: each relay pauses by its part. A refusal beside other failures is the outage's own.
-        gap_us = min(MIN_TRIAL_GAP_US * 2.0 ** min(guard.failures_in_row - 1, 10), MAX_TRIAL_GAP_US)
-        sore = any(
-            g.cold_since_us >= 0 or (g.failures_in_row and not g.last_failure_was_refusal)
-            for g in endpoint.limiters
+        # While most trials fail, this is an outage, and the trials of all relays together must not exceed
+        # what a cold server takes: each relay pauses according to its part. A refusal while other calls fail
+        # belongs to that outage.
+        gap_us = min(MIN_TRIAL_GAP_US * 2.0 ** min(limiter.failures_in_row - 1, 10), MAX_TRIAL_GAP_US)
+        other_failures = any(
+            each.cold_since_us >= 0 or (each.failures_in_row and not each.last_failure_was_refusal)
+            for each in endpoint.limiters
         )
-        again = guard.cold_since_us >= 0 or (guard.failures_in_row > 1 and not beside)
-        if again or self.trial_failures[refused and not sore].hit_ratio(self.now_us) > OUTAGE_FAILURE_RATIO:
-            bears = self.settings.fall_multiple * self.settings.cold_from * self._rate_share(endpoint, guard)
-            gap_us = max(gap_us, 1e6 / bears)
-        start_us = max(self.now_us, guard.told_wait_until_us)
-        if used_up:
-            guard.pause_until_us = max(
-                guard.pause_until_us, start_us + int(1e6 / guard.allowed_rate * self.rng.uniform(0.3, 1.3))
+        failing_on = limiter.cold_since_us >= 0 or (limiter.failures_in_row > 1 and not served_lately)
+        if (
+            failing_on
+            or self.trial_failures[refused and not other_failures].hit_ratio(self.now_us)
+            > OUTAGE_FAILURE_RATIO
+        ):
+            trials_per_s = (
+                self.settings.fall_multiple * self.settings.cold_from * self._rate_share(endpoint, limiter)
+            )
+            gap_us = max(gap_us, 1e6 / trials_per_s)
+        start_us = max(self.now_us, limiter.told_wait_until_us)
+        if limit_used_up:
+            limiter.pause_until_us = max(
+                limiter.pause_until_us,
+                start_us + int(1e6 / limiter.allowed_rate * self.rng.uniform(0.3, 1.3)),
             )
-        elif sore or guard.failures_in_row > 1 or not beside:
-            guard.pause_until_us = max(
-                guard.pause_until_us, start_us + int(gap_us * self.rng.uniform(0.3, 1.3))
+        elif other_failures or limiter.failures_in_row > 1 or not served_lately:
+            limiter.pause_until_us = max(
+                limiter.pause_until_us, start_us + int(gap_us * self.rng.uniform(0.3, 1.3))
             )
-        else:  # all that were told to wait would come back at once
-            guard.pause_until_us = max(
-                guard.pause_until_us, start_us + int((start_us - self.now_us) * self.rng.random())
+        else:  # spread: else all relays that were told to wait would come back at once
+            limiter.pause_until_us = max(
+                limiter.pause_until_us, start_us + int((start_us - self.now_us) * self.rng.random())
             )
 
     def _max_connections(self, endpoint: Endpoint) -> float:
-        """Calls at once for which it has connections, by what it turned away; in time it may have more."""
+        """Calls at once for which the endpoint has connections, by what it turned away; grows with time."""
         return (
             endpoint.connection_cap + (self.now_us - endpoint.connection_cap_at_us) / CONNECTION_CAP_GROWTH_US
         )
 
-    def _grown_allowed_rate(self, limit: LimiterState) -> float:
-        """This relay's pace at a limit; it grows with time, and slowly near a pace that was refused."""
-        eased = self._shares_reported_limit(limit)
-        e_fold_us = FAST_GROWTH_US if eased else EVIDENCE_DECAY_US
-        grown = limit.allowed_rate * math.exp(min(50.0, (self.now_us - limit.allowed_rate_at_us) / e_fold_us))
-        if eased and limit.rate_at_last_refusal < math.inf:
-            knee = (
+    def _grown_allowed_rate(self, limiter: LimiterState) -> float:
+        """Update and return the allowed rate in calls/s; it grows with time, slowly near a refused rate."""
+        shared = self._shares_reported_limit(limiter)
+        e_fold_us = FAST_GROWTH_US if shared else EVIDENCE_DECAY_US
+        grown = limiter.allowed_rate * math.exp(
+            min(50.0, (self.now_us - limiter.allowed_rate_at_us) / e_fold_us)
+        )
+        if shared and limiter.rate_at_last_refusal < math.inf:
+            slow_bound = (
                 FAST_GROWTH_SHARE
-                * limit.rate_at_last_refusal
-                * math.exp(min(50.0, (self.now_us - limit.last_refusal_us) / SLOW_GROWTH_US))
+                * limiter.rate_at_last_refusal
+                * math.exp(min(50.0, (self.now_us - limiter.last_refusal_us) / SLOW_GROWTH_US))
             )
-            grown = min(grown, max(limit.allowed_rate, knee))
-        limit.allowed_rate, limit.allowed_rate_at_us = (
-            min(grown, limit.advertised_rate or math.inf),
+            grown = min(grown, max(limiter.allowed_rate, slow_bound))
+        limiter.allowed_rate, limiter.allowed_rate_at_us = (
+            min(grown, limiter.advertised_rate or math.inf),
             self.now_us,
         )
-        return limit.allowed_rate
+        return limiter.allowed_rate
 
-    def _rate_share(self, endpoint: Endpoint, guard: LimiterState) -> float:
-        """This relay's part of the calls a second there, of all endpoints or of one."""
-        limit = endpoint.rate_limiter
-        return self._limit_share(limit) / (
-            1 if guard is limit else max(1, len(self.dests[endpoint.dest].usable_endpoints()))
+    def _rate_share(self, endpoint: Endpoint, limiter: LimiterState) -> float:
+        """This relay's part in calls/s of what all endpoints under a limiter, or this one, are sent."""
+        rate_limiter = endpoint.rate_limiter
+        return self._limit_share(rate_limiter) / (
+            1 if limiter is rate_limiter else max(1, len(self.dests[endpoint.dest].usable_endpoints()))
         )
 
-    def _limit_share(self, limit: LimiterState) -> float:
-        """This relay's part of the calls a second within a limit: an equal one, or by its own demand."""
+    def _limit_share(self, limiter: LimiterState) -> float:
+        """This relay's part of a limit in calls/s: an equal one, or its own demand if that is more."""
         return max(
-            limit.advertised_rate / self.settings.group_size,
-            limit.demand.rate_per_s(self.now_us, self.first_step_us),
+            limiter.advertised_rate / self.settings.group_size,
+            limiter.demand.rate_per_s(self.now_us, self.first_step_us),
             1e-3,
         )
 
-    def _space_cold_calls(self, endpoint: Endpoint, guard: LimiterState, part: float = 1.0) -> None:
-        """A cold server gets this relay's part of what it bears, spread over its time to warm."""
+    def _space_cold_calls(self, endpoint: Endpoint, limiter: LimiterState, gap_share: float = 1.0) -> None:
+        """Pause so that a cold server gets this relay's part of what it takes, spread over its warm-up.
+
+        ``gap_share`` is the share of the gap between calls to wait; a random one spreads the relays.
+        """
         warm_us = max(1, self.settings.warm_within_us)
-        cold = max(0.0, 1 - (self.now_us - guard.cold_since_us) / warm_us)
-        bears, growth = 1 - (1 - self.settings.cold_from) * cold, (1 - self.settings.cold_from) / warm_us
-        call_us = 1e6 / (self.settings.fall_multiple * self._rate_share(endpoint, guard))
-        # The rate grows while it waits: gap x (bears + growth x gap / 2) = call, solved for the gap.
-        gap_us = 2 * call_us / (bears + math.sqrt(bears * bears + 2 * growth * call_us))
-        gap_us = part * min(gap_us, max(MIN_TRIAL_GAP_US, cold * warm_us))
-        guard.pause_until_us = max(guard.pause_until_us, self.now_us + int(gap_us))
+        coldness = max(0.0, 1 - (self.now_us - limiter.cold_since_us) / warm_us)
+        # Share of the warm capacity that the server has now, and its growth per us.
+        capacity, growth = (
+            1 - (1 - self.settings.cold_from) * coldness,
+            (1 - self.settings.cold_from) / warm_us,
+        )
+        warm_gap_us = 1e6 / (self.settings.fall_multiple * self._rate_share(endpoint, limiter))
+        # Capacity grows during the gap: gap x (capacity + growth x gap / 2) = warm gap, solved for the gap.
+        gap_us = 2 * warm_gap_us / (capacity + math.sqrt(capacity * capacity + 2 * growth * warm_gap_us))
+        gap_us = gap_share * min(gap_us, max(MIN_TRIAL_GAP_US, coldness * warm_us))
+        limiter.pause_until_us = max(limiter.pause_until_us, self.now_us + int(gap_us))
 
     def _give_up(self, message: Message) -> None:
-        """Answer for good: a refusal where a retry is harmless, else a failure."""
+        """Answer for good: a refusal where a retry by the client is harmless, else a failure."""
         keyed_anywhere = message.cls.effect is Effect.KEYED and not message.cls.key_scope_is_zone
         harmless = message.cls.effect is Effect.SAFE or message.uncertain_since_us < 0 or keyed_anywhere
         wait_us = self.settings.max_retry_after_us * self.settings.advise_retry
@@ -780,7 +853,7 @@
         self._close(message)
 
     def _close(self, message: Message) -> None:
-        """The message is over; it stays known while attempts are out."""
+        """Mark a message as over; it stays known while attempts are out."""
         self.open_messages -= not message.done
         message.done = True
         self.dests[message.dest].release(message)
@@ -795,13 +868,13 @@
                 del self.key_queues[message.key]
 
     def _call_stats(self, message: Message, endpoint: Endpoint | None = None) -> CallStats:
-        """What a call takes there, else anywhere, else a guess: a quarter of the aim, spread as wide."""
+        """What a call of the message's class takes there; if unknown, at any endpoint, or else a guess."""
         return (endpoint.stats_by_class.get(message.cls.name) if endpoint else None) or self._class_stats(
             message.cls
         )
 
     def _class_stats(self, cls: MessageClass) -> CallStats:
-        """The same for a class, wherever."""
+        """What a call of the class takes at any endpoint; if unknown, a guess: a quarter of its aim."""
         return self.baseline_stats.get(cls.name) or self._initial_stats(cls.aim_us / 4)
 
     _initial_stats = staticmethod(
@@ -809,32 +882,32 @@
     )
 
     def _expire(self) -> None:
-        """Answer held messages whose time or window covers no call, and the least worthy over the bound."""
+        """Answer held messages whose time or key window allows no call, and the least worthy over the cap."""
         while self.expiry_heap and self.expiry_heap[0][0] <= self.now_us:
             message = self.messages.get(heapq.heappop(self.expiry_heap)[2])
-            if message is not None and message.order:  # what a call takes may have changed since
+            if message is not None and message.queue_position:  # what a call takes may have changed since
                 (self._hold if self._answer_by_us(message) > self.now_us else self._give_up)(message)
         for dest in [self.dests[number] for number in self.dests_to_check]:
-            start = min((e.rate_limiter.told_wait_until_us for e in dest.usable_endpoints()), default=0)
-            if start > self.now_us:  # told to wait past the message's time: answer now
-                for message in self._held_ending_by(dest, start):
+            start_us = min((e.rate_limiter.told_wait_until_us for e in dest.usable_endpoints()), default=0)
+            if start_us > self.now_us:  # told to wait past the message's time: answer now
+                for message in self._held_ending_by(dest, start_us):
                     self._give_up(message)
-        if (over := self.open_messages - max(1, self.settings.hold_cap - 1)) > 0:
+        if (excess := self.open_messages - max(1, self.settings.hold_cap - 1)) > 0:
             held = [m for m in self.messages.values() if not m.done and not m.open_calls]
-            for message in sorted(held, key=self._score)[:over]:
+            for message in sorted(held, key=self._score)[:excess]:
                 self._give_up(message)
 
     def _held_ending_by(self, dest: Destination, at_us: int) -> list[Message]:
-        """The held messages that have to be answered by then, in the order of the line."""
+        """The held messages that have to be answered by then, in the order in which they were held."""
         found: list[Message] = []
-        for (name, _, attempts), lane in dest.queues.items():
-            # Of those that were never tried the end follows from the deadline alone.
-            most_us = math.inf if attempts else at_us + self._min_call_us(self.classes[name])
-            found += [m for m in lane.due_by(most_us) if self._answer_by_us(m) <= at_us]
-        return sorted(found, key=lambda message: message.order)
+        for (name, _, attempts), queue in dest.queues.items():
+            # For messages that were never tried the end follows from the deadline alone.
+            max_deadline_us = math.inf if attempts else at_us + self._min_call_us(self.classes[name])
+            found += [m for m in queue.due_by(max_deadline_us) if self._answer_by_us(m) <= at_us]
+        return sorted(found, key=lambda message: message.queue_position)
 
     def _worth_at(self, message: Message, at_us: float) -> float:
-        """What the message earns if delivered at that time."""
+        """What the message is worth if it is delivered at that time."""
         cls, late_us = message.cls, at_us - message.aim_us
         if at_us >= message.deadline_us:
             return 0.0
@@ -845,200 +918,218 @@
         return message.worth * (1 - (1 - cls.late_worth) * late_us / max(1, cls.deadline_us - cls.aim_us))
 
     def _score(self, message: Message) -> float:
-        """Worth lost by waiting a while longer, and a part of the worth itself."""
+        """Worth lost by waiting URGENCY_HORIZON_US longer, plus a part of the worth itself."""
         at_us = self.now_us + self._call_stats(message).mean_us
-        now = self._worth_at(message, at_us)
-        return now - self._worth_at(message, at_us + URGENCY_HORIZON_US) + WORTH_SCORE_WEIGHT * now
+        worth = self._worth_at(message, at_us)
+        return worth - self._worth_at(message, at_us + URGENCY_HORIZON_US) + WORTH_SCORE_WEIGHT * worth
 
     def _dispatch(self) -> None:
-        """One pass over what is held at the destinations to look at, best first, while any has room.
+        """Send held messages of the destinations to check, best first, while any of these accepts calls.
 
-        Room only shrinks within a pass. So a destination that had none for one message is left out from
-        then on: asked again for each of hundreds that are held, it took most of a relay's processor. For the
-        same reason each destination's messages are ranked as far as they are asked for.
+        Within a pass endpoints only become less able to take calls. So a destination that had no place for
+        one message is left out from then on: checked again for each of hundreds of held messages, it took
+        most of a relay's processor time. For the same reason each destination's messages are ranked lazily.
         """
-        short, looked, roomy = self._slots_short(), list(self.dests_to_check), set[int]()
+        slots_short, checked, accepting = self._slots_short(), list(self.dests_to_check), set[int]()
         ready: list[tuple[float, int, int, Message, Iterator[RankedMessage[Message]]]] = []
-        for at, number in enumerate(looked):
+        for index, number in enumerate(checked):
             dest = self.dests[number]
-            if dest.held and (rooms := [e for e in dest.usable_endpoints() if self._can_call(dest, e)]):
-                roomy.add(number)
-                rest = self._ranked_messages(dest, rooms, short)
-                ready += [(rank, at, place, message, rest) for rank, place, message in islice(rest, 1)]
+            if dest.held and (reachable := [e for e in dest.usable_endpoints() if self._can_call(dest, e)]):
+                accepting.add(number)
+                rest = self._ranked_messages(dest, reachable, slots_short)
+                ready += [(rank, index, place, message, rest) for rank, place, message in islice(rest, 1)]
         heapq.heapify(ready)
-        opened: dict[str, Call] = {}
-        while ready and roomy:
-            _, at, _, message, rest = ready[0]
-            if message.dest not in roomy:
+        opened: dict[str, Call] = {}  # calls of this pass by host, which further messages may share
+        while ready and accepting:
+            _, index, _, message, rest = ready[0]
+            if message.dest not in accepting:
                 heapq.heappop(ready)
                 continue
-            if (after := next(rest, None)) is not None:
-                heapq.heapreplace(ready, (after[0], at, after[1], after[2], rest))
+            if (following := next(rest, None)) is not None:
+                heapq.heapreplace(ready, (following[0], index, following[1], following[2], rest))
             else:
                 heapq.heappop(ready)
             dest = self.dests[message.dest]
-            bound = (
+            zone_bound = (
                 message.cls.effect is Effect.KEYED
                 and message.uncertain_since_us >= 0
                 and message.cls.key_scope_is_zone
             )
-            spots = [e for e in dest.usable_endpoints() if not bound or e.zone == message.uncertain_zone]
-            shared = [
-                e for e in spots if e.host in opened and opened[e.host].message_count < e.kind.batch_size
+            allowed = [
+                e for e in dest.usable_endpoints() if not zone_bound or e.zone == message.uncertain_zone
+            ]
+            shareable = [
+                e for e in allowed if e.host in opened and opened[e.host].message_count < e.kind.batch_size
             ]
-            if rooms := shared or [e for e in spots if self._can_call(dest, e)]:
+            if candidates := shareable or [e for e in allowed if self._can_call(dest, e)]:
                 best = (
-                    rooms[0]
-                    if len(rooms) == 1
-                    else min(rooms, key=lambda e: self._expected_cost_us(message, e))
+                    candidates[0]
+                    if len(candidates) == 1
+                    else min(candidates, key=lambda e: self._expected_cost_us(message, e))
                 )
                 self._send(message, best, opened)
-            elif not bound:
-                roomy.remove(message.dest)
+            elif not zone_bound:
+                accepting.remove(message.dest)
         self.dests_to_check = {}
-        if self.calls_out >= self.settings.slots:  # what is held waits for a slot and is looked at again
-            for number in looked:
+        if self.calls_out >= self.settings.slots:  # held messages wait for a slot and are checked again
+            for number in checked:
                 self._mark_for_check(number)
-        for number in looked:
+        for number in checked:
             if (dest := self.dests[number]).held:
-                times = [
-                    max(max(g.told_wait_until_us, g.pause_until_us) for g in e.limiters)
+                times_us = [
+                    max(max(limiter.told_wait_until_us, limiter.pause_until_us) for limiter in e.limiters)
                     for e in dest.usable_endpoints()
                 ]
                 if self.key_queues:
-                    times += [self.key_cooldown_until_us.get(m.key, 0) for m in dest.held.values() if m.key]
-                if later := [at_us for at_us in times if at_us > self.now_us]:
-                    self._schedule_check(dest, number, min(later))
+                    times_us += [
+                        self.key_cooldown_until_us.get(m.key, 0) for m in dest.held.values() if m.key
+                    ]
+                if future_us := [at_us for at_us in times_us if at_us > self.now_us]:
+                    self._schedule_check(dest, number, min(future_us))
 
     def _schedule_check(self, dest: Destination, number: int, at_us: int) -> None:
-        """Look at a destination again then, unless a look that comes sooner is due already."""
+        """Check a destination again at that time, unless an earlier check is already due."""
         if not self.now_us < dest.next_check_us <= at_us:
             dest.next_check_us = at_us
             heapq.heappush(self.check_heap, (at_us, number))
 
     def _mark_for_check(self, number: int) -> None:
-        """Look at a destination with the next dispatch, where it holds anything."""
+        """Check a destination with the next dispatch, if it holds anything."""
         if self.dests[number].held:
             self.dests_to_check[number] = None
 
     def _ranked_messages(
-        self, dest: Destination, rooms: list[Endpoint], short: bool
+        self, dest: Destination, endpoints: list[Endpoint], slots_short: bool
     ) -> Iterator[RankedMessage[Message]]:
-        """The messages of a destination that may go, each with its rank among all: the least goes first.
+        """The messages of a destination that may go, each with its rank among all: the lowest goes first.
 
-        With slots short, worth counts by time in a slot, or crawling destinations take them all; those that
-        can share a call share its slot. Trials of what fails cost least with what may be repeated, and take
-        turns: that settles which of a destination's messages goes first, not when the destination's turn is.
+        With slots short, worth counts per time in a slot, or else slow destinations take all slots; messages
+        that can share a call share its slot. While the destination fails, messages are tried in order of the
+        harm of a repeat and of their attempts. That settles which of its messages goes first, but not when
+        the destination's turn comes.
         """
 
-        def line(lanes: Iterable[DeadlineQueue[Message]]) -> Iterator[RankedMessage[Message]]:
-            parts = [self._ranked_in_queue(dest, lane, rooms, short) for lane in lanes]
+        def ranked_in(queues: Iterable[DeadlineQueue[Message]]) -> Iterator[RankedMessage[Message]]:
+            parts = [self._ranked_in_queue(dest, queue, endpoints, slots_short) for queue in queues]
             ranked = parts[0] if len(parts) == 1 else heapq.merge(*parts)
             return (item for item in ranked if self._key_allows(item[2])) if self.key_queues else ranked
 
-        if not any(g.failures_in_row for e in dest.endpoints.values() for g in e.limiters):
-            return line(dest.queues.values())
-        risks: dict[float, list[DeadlineQueue[Message]]] = {}
-        for (name, _, attempts), lane in dest.queues.items():
+        if not any(limiter.failures_in_row for e in dest.endpoints.values() for limiter in e.limiters):
+            return ranked_in(dest.queues.values())
+        queues_by_risk: dict[float, list[DeadlineQueue[Message]]] = {}
+        for (name, _, attempts), queue in dest.queues.items():
             risk = REPEAT_RISKS[self.classes[name].effect] + attempts / self.settings.max_attempts
-            risks.setdefault(risk, []).append(lane)
-        messages = (item[2] for risk in sorted(risks) for item in line(risks[risk]))
-        ranks = (item[0] for item in line(dest.queues.values()))
+            queues_by_risk.setdefault(risk, []).append(queue)
+        messages = (item[2] for risk in sorted(queues_by_risk) for item in ranked_in(queues_by_risk[risk]))
+        ranks = (item[0] for item in ranked_in(dest.queues.values()))
         pairs = zip(ranks, messages, strict=True)
         return ((rank, place, message) for place, (rank, message) in enumerate(pairs))
 
     def _ranked_in_queue(
-        self, dest: Destination, lane: DeadlineQueue[Message], rooms: list[Endpoint], short: bool
+        self, dest: Destination, queue: DeadlineQueue[Message], endpoints: list[Endpoint], slots_short: bool
     ) -> Iterator[RankedMessage[Message]]:
-        """A lane's messages by rank: all have the same class, and so the same time in a slot."""
-        some = lane.any_message()
-        slot_us = min(self._slot_time_us(some, dest, e) for e in rooms) if short else 1.0
-        if len(lane) == 1:
-            return iter([(-self._score(some) / slot_us, some.order, some)])
-        return lane.ranked(self._score_breakpoints(some.cls), lambda message: -self._score(message) / slot_us)
+        """A queue's messages by rank: all have the same class, and so the same time in a slot."""
+        sample = queue.any_message()
+        slot_us = min(self._slot_time_us(sample, dest, e) for e in endpoints) if slots_short else 1.0
+        if len(queue) == 1:
+            return iter([(-self._score(sample) / slot_us, sample.queue_position, sample)])
+        return queue.ranked(
+            self._score_breakpoints(sample.cls), lambda message: -self._score(message) / slot_us
+        )
 
     def _score_breakpoints(self, cls: MessageClass) -> list[float]:
-        """The deadlines between which a score of the class only rises or only falls, now."""
+        """The deadlines (us) between which a score of the class only rises or only falls, now."""
         at_us, late_us = self.now_us + self._class_stats(cls).mean_us, cls.deadline_us - cls.aim_us
-        cuts = [at_us, at_us + late_us]
+        breakpoints = [at_us, at_us + late_us]
         if (
             self.settings.late_worth_halves and 0 < cls.late_worth < 1
-        ):  # where worth has come down to the least
-            cuts.append(at_us + late_us + max(1, cls.aim_us) * math.log2(cls.late_worth))
-        return cuts + [cut + URGENCY_HORIZON_US for cut in cuts]
+        ):  # where worth has come down to the minimum
+            breakpoints.append(at_us + late_us + max(1, cls.aim_us) * math.log2(cls.late_worth))
+        return breakpoints + [at + URGENCY_HORIZON_US for at in breakpoints]
 
     def _slot_time_us(self, message: Message, dest: Destination, endpoint: Endpoint) -> float:
-        """Slot time that the message costs there, with as many beside it as a call takes and are held."""
+        """Slot time that the message costs there, shared with as many as a call takes and are held."""
         return self._call_stats(message, endpoint).mean_us / min(endpoint.kind.batch_size, len(dest.held))
 
     def _key_allows(self, message: Message) -> bool:
-        """Whether order by key lets the message go now; the one that has the turn may be repeated at once."""
+        """Whether order by key lets the message go now; the first of its key may be repeated at once."""
         first = not message.key or self.key_queues[message.key][0] is message
         return first and (
             message.attempts > 0 or self.now_us >= self.key_cooldown_until_us.get(message.key, 0)
         )
 
     def _can_call(self, dest: Destination, endpoint: Endpoint) -> bool:
-        """Whether one more call to the endpoint is within slots, cap, quota, wait, pace and suspicion."""
-        others = dest.endpoints.values()
-        most = max(1, int(min(endpoint.quota, self._max_connections(endpoint))))
-        full = self.calls_out >= self.settings.slots or len(endpoint.calls) >= most
+        """Whether slots, quota, connections, pauses, failures and overdue calls allow one call more there."""
+        siblings = dest.endpoints.values()
+        max_calls = max(1, int(min(endpoint.quota, self._max_connections(endpoint))))
+        full = self.calls_out >= self.settings.slots or len(endpoint.calls) >= max_calls
         if full or any(
-            self.now_us < max(guard.told_wait_until_us, guard.pause_until_us) for guard in endpoint.limiters
+            self.now_us < max(limiter.told_wait_until_us, limiter.pause_until_us)
+            for limiter in endpoint.limiters
         ):
             return False
+        # Of all failing endpoints of a destination only one is called at a time.
         if self._has_overdue_call(endpoint) or (
-            self._is_failing(endpoint) and any(e.calls for e in others if self._is_failing(e))
+            self._is_failing(endpoint) and any(e.calls for e in siblings if self._is_failing(e))
         ):
             return False
-        out = sum(len(e.calls) for e in others)
-        if out < max(1, int(FAILING_SLOT_SHARE * self.settings.slots)):  # sick or not
+        calls_out = sum(len(e.calls) for e in siblings)
+        if calls_out < max(1, int(FAILING_SLOT_SHARE * self.settings.slots)):  # allowed even if it fails
             return True
-        if out >= max(1, int(HEALTHY_SLOT_SHARE * self.settings.slots)):
+        if calls_out >= max(1, int(HEALTHY_SLOT_SHARE * self.settings.slots)):
             return False
         return not any(
             e.failures.hit_ratio(self.now_us) > QUOTA_DOWN_FAILURE_RATIO
             or self._is_failing(e)
             or self._has_overdue_call(e)
-            for e in others
+            for e in siblings
         )
 
     def _expected_cost_us(self, message: Message, endpoint: Endpoint) -> float:
-        """Time to be served there, with its failures and its fee turned into time."""
-        record, fee = self._call_stats(message, endpoint), self.settings.zone_fees.get(endpoint.zone, 0.0)
-        bad = max(record.failures.hit_ratio(self.now_us), endpoint.failures.hit_ratio(self.now_us))
-        return record.mean_us * (len(endpoint.calls) + 1) / max(0.1, 1 - bad) + fee * message.cls.deadline_us
+        """Expected time to be served there, with its failures and its zone's fee converted into time."""
+        stats, fee = self._call_stats(message, endpoint), self.settings.zone_fees.get(endpoint.zone, 0.0)
+        failure_ratio = max(stats.failures.hit_ratio(self.now_us), endpoint.failures.hit_ratio(self.now_us))
+        return (
+            stats.mean_us * (len(endpoint.calls) + 1) / max(0.1, 1 - failure_ratio)
+            + fee * message.cls.deadline_us
+        )
 
     def _send(self, message: Message, endpoint: Endpoint, opened: dict[str, Call]) -> None:
-        record, limit_us = self._call_stats(message, endpoint), message.deadline_us - self.now_us
-        overdue = record.mean_us + OVERDUE_DEVIATIONS * max(record.deviation_us, record.mean_us / 2)
+        """Send a message with a call that this pass opened to the endpoint, or with a new call."""
+        stats, timeout_us = self._call_stats(message, endpoint), message.deadline_us - self.now_us
+        overdue_us = stats.mean_us + OVERDUE_DEVIATIONS * max(stats.deviation_us, stats.mean_us / 2)
         if message.cls.effect is not Effect.UNSAFE:
-            # What others take tells little of one that came later and answered nothing yet: it may be cold.
-            least_us = (
+            # One that joined late and answered nothing yet may be cold: others' latency says little of it.
+            min_us = (
                 message.cls.aim_us if endpoint.joined_late and endpoint.own_limiter.last_success_us < 0 else 0
             )
-            usual_us = int(REPEATABLE_TIMEOUT_OVERDUES * overdue) << min(message.timeouts, 8)
-            limit_us = min(limit_us, max(least_us, usual_us))
+            usual_us = int(REPEATABLE_TIMEOUT_OVERDUES * overdue_us) << min(message.timeouts, 8)
+            timeout_us = min(timeout_us, max(min_us, usual_us))
         else:  # one that times out is lost; but one that hangs keeps a slot and a connection from others
-            limit_us = min(limit_us, max(message.cls.aim_us, int(UNSAFE_TIMEOUT_OVERDUES * overdue)))
+            timeout_us = min(timeout_us, max(message.cls.aim_us, int(UNSAFE_TIMEOUT_OVERDUES * overdue_us)))
         if (call := opened.get(endpoint.host)) is None or call.message_count >= endpoint.kind.batch_size:
             if (idle_us := self.now_us - (endpoint.last_call_end_us or self.now_us)) > self.trusted_idle_us:
                 self.actions.append(CloseIdle(endpoint.host))
                 idle_us = 0
-            call = opened[endpoint.host] = Call(endpoint, self.now_us, overdue, idle_us)
+            call = opened[endpoint.host] = Call(endpoint, self.now_us, overdue_us, idle_us)
             endpoint.calls.append(call)
             self.busy_endpoints[endpoint.host] = endpoint
             self.calls_out += 1
-            if (pace := self._grown_allowed_rate(limit := endpoint.rate_limiter)) < math.inf:
-                gap_us = int(1e6 / pace * self.rng.uniform(0.5, 1.5))  # not back together
-                limit.pause_until_us = max(limit.pause_until_us, self.now_us - MAX_BURST_US) + gap_us
-            for guard in (g for g in endpoint.limiters if g.cold_since_us >= 0):
-                self._space_cold_calls(endpoint, guard)
-        self.dests[message.dest].release(message)  # before its attempts change, by which its lane is known
+            if (rate := self._grown_allowed_rate(rate_limiter := endpoint.rate_limiter)) < math.inf:
+                gap_us = int(
+                    1e6 / rate * self.rng.uniform(0.5, 1.5)
+                )  # random, so that relays do not call together
+                rate_limiter.pause_until_us = (
+                    max(rate_limiter.pause_until_us, self.now_us - MAX_BURST_US) + gap_us
+                )
+            for limiter in (each for each in endpoint.limiters if each.cold_since_us >= 0):
+                self._space_cold_calls(endpoint, limiter)
+        # Released before its attempts change, since they are part of its queue's key.
+        self.dests[message.dest].release(message)
         call.message_count, call.open_attempts = call.message_count + 1, call.open_attempts + 1
         call.attempt_by_message[message.id] = message.attempts
         message.open_calls[message.attempts], message.attempts = call, message.attempts + 1
-        begin_us = 0
+        latest_begin_us = 0
         if message.cls.effect is Effect.KEYED and message.uncertain_since_us >= 0:
-            begin_us = max(1, self._key_window_end_us(message) - self.now_us)
-        self.actions.append(Send(message.id, endpoint.host, max(1, limit_us), begin_us))
+            latest_begin_us = max(1, self._key_window_end_us(message) - self.now_us)
+        self.actions.append(Send(message.id, endpoint.host, max(1, timeout_us), latest_begin_us))
--- a/decisions/interface.py
+++ b/decisions/interface.py
@@ -1,7 +1,8 @@
-"""The vocabulary of the decision module: settings, events, actions and outcomes.
+"""Types of the decision engine's interface: settings, events and actions.
 
-Times are whole microseconds and carry the suffix ``_us``. Everything here is a frozen value; a caller
-builds settings and events, hands them to ``decisions.engine.DecisionEngine`` and carries out the actions it returns.
+Times are whole microseconds and carry the suffix ``_us``; rates are in calls a second unless said otherwise.
+Every value is immutable. A caller builds settings and events, passes them to
+``decisions.engine.DecisionEngine`` and carries out the actions that it returns.
 """
 
 from __future__ import annotations
@@ -11,7 +12,10 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does: nothing, nothing within a window, or harm."""
+    """What a second execution of a message does.
+
+    SAFE: nothing. KEYED: nothing within ``key_window_us``, since receivers recognise its key. UNSAFE: harm.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +23,10 @@
 
 
 class Verdict(Enum):
-    """How one attempt (or probe) ended."""
+    """How one attempt or probe ended.
+
+    FULL: refused above a limit. NOT_SENT: not begun, as its latest begin or the relay's end had come.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -32,12 +39,16 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this verdict proves that the attempt had no effect."""
+        """Whether this verdict proves that the attempt was not executed."""
         return self in (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.NOT_SENT)
 
 
 class EndpointUpdateKind(Enum):
-    """What a piece of news about the endpoint list is."""
+    """What an update of the endpoint list holds.
+
+    CHANGES: the entries that changed. WHOLE: the whole list. CACHED: the list as it was stored by a previous
+    process. FAILED: nothing, as the request or the watch failed.
+    """
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -46,7 +57,7 @@
 
 
 class Listing(Enum):
-    """How the directory lists an endpoint; it says nothing of health."""
+    """How the directory lists an endpoint; independent of whether its calls succeed."""
 
     GONE = "gone"
     READY = "ready"
@@ -55,7 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What a class of message is worth, when it is wanted and whether it may be repeated."""
+    """What messages of a class are worth, when they are wanted and whether they may be repeated.
+
+    A message is worth ``worth`` up to ``aim_us`` after its arrival, then less and less down to the share
+    ``late_worth`` of it, and nothing from ``deadline_us`` on. ``key_window_us`` is how long after a first
+    execution receivers recognise a message's key, with ``key_scope_is_zone`` only within the zone of that
+    execution. With ``ordered_by_key`` messages of one key are delivered one at a time, in order of arrival.
+    """
 
     name: str
     effect: Effect
@@ -70,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A member sharing the service and the rate that it may use across all relays."""
+    """A user of the service, and the rate in messages a second that it may use across all relays."""
 
     name: str
     quota_per_s: float
@@ -78,7 +95,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """A kind of destination: whether its endpoints are separate routes, and messages to a call."""
+    """A kind of destination.
+
+    With ``limit_per_endpoint`` each endpoint is a separate route with its own limit; otherwise all endpoints
+    of a destination share one. ``batch_size`` is how many messages a call takes at most.
+    """
 
     name: str
     limit_per_endpoint: bool = False
@@ -87,41 +108,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a relay is told at its start."""
+    """The configuration of one decision engine.
+
+    Raises ``ValueError``, naming the field, for values that cannot work.
+    """
 
-    slots: int
+    slots: int  # calls that may be out at once
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    zone_fees: dict[str, float] = field(default_factory=dict)
-    group_size: int = 1
-    number: int = 0  # this relay's own among them, from 0
-    hold_cap: int = 1000
-    max_attempts: int = 1
-    round_us: int = 1000
-    keepalive_us: int = 60_000_000
-    may_duplicate: bool = False
+    zone_fees: dict[str, float] = field(default_factory=dict)  # by zone, as a share of a message's time limit
+    group_size: int = 1  # relays that call the same destinations, this one included
+    number: int = 0  # this relay's number among them, from 0
+    hold_cap: int = 1000  # messages without an answer at once
+    max_attempts: int = 1  # attempts of one message
+    round_us: int = 1000  # time between two steps, at least
+    keepalive_us: int = 60_000_000  # how long idle connections are kept
+    may_duplicate: bool = False  # whether a message may be out with two attempts at once
     may_cancel: bool = False
     may_probe: bool = False
-    advise_retry: bool = False
+    advise_retry: bool = False  # whether refusals tell the client when to retry
     max_retry_after_us: int = 0
-    must_ask: bool = False
-    list_pushed: bool = False  # the list comes to an agent beside the relay: to ask that costs nothing
-    ask_within_us: int = 0
-    rate_hints_given: bool = False
-    rate_hints_rough: bool = False
+    must_ask: bool = False  # whether the list comes only after a ``Subscribe``
+    # Whether the list is pushed to an agent beside the relay: asking the agent costs nothing.
+    list_pushed: bool = False
+    ask_within_us: int = 0  # bounds the time between two asks for the list
+    rate_hints_given: bool = False  # whether ``Entry.rate_hint`` is the endpoint's limit
+    rate_hints_rough: bool = False  # whether it is approximate; then it is divided by 1.5
+    # Whether worth halves with each ``aim_us`` after the aim; otherwise it falls along a line.
     late_worth_halves: bool = False
-    over_share_worth: float = 1.0
-    drain_grace_us: int = 0
+    over_share_worth: float = 1.0  # factor of the worth of messages beyond their tenant's share
+    drain_grace_us: int = 0  # how long calls may still go to an endpoint that left the list or is draining
+    # A destination breaks down under more than so many times its capacity for ``fall_us``.
     fall_multiple: float = 2.0
     fall_us: int = 1_000_000
-    cold_from: float = 0.2
-    warm_within_us: int = 10_000_000
-    answer_slack_us: int = 0
+    cold_from: float = 0.2  # capacity of a cold server, as a share of the warm one
+    warm_within_us: int = 10_000_000  # time in which a cold server warms up
+    answer_slack_us: int = 0  # how late after its deadline a message may be answered
+    # How long the next message of a key waits for an attempt that may still run.
     order_pause_us: int = 0
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot work, naming the field."""
+        """Raise ``ValueError`` for settings that cannot work."""
         for name in ("slots", "group_size", "hold_cap", "max_attempts", "round_us", "fall_us"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
@@ -155,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One endpoint as the directory lists it."""
+    """One endpoint as the directory lists it; ``kind`` names its ``DestinationKind``."""
 
     host: str
     dest: int
@@ -167,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the endpoint list; long news may come as several pieces, all but the first ``continued``."""
+    """An update of the endpoint list; a long one may come in pieces, all but the first ``continued``."""
 
     kind: EndpointUpdateKind
     entries: tuple[Entry, ...] = ()
@@ -176,10 +204,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message taken in; it must get exactly one final answer within ``left_us``.
+    """A message taken on; it must get exactly one final answer within ``time_left_us``.
 
-    The last three fields speak of a former life of this relay: attempts made, and how long ago and in which
-    zone the first of them was made that may have run (-1: none may).
+    The last three fields come from a previous process of this relay: the attempts made, and how long ago and
+    in which zone the first one was made that may have been executed (-1: none may have).
     """
 
     id: str
@@ -195,7 +223,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one attempt ended."""
+    """How one attempt ended.
+
+    ``complete``: the message is delivered and needs no answer. ``wait_us``: the server asked for no calls for
+    so long. ``limit_per_s`` and ``limit_share_left``: the reported limit for all relays, and the share of it
+    (0 to 1) that is left.
+    """
 
     id: str
     attempt: int
@@ -206,9 +239,7 @@
     wait_us: int = 0
     limit_share_left: float | None = None
     limit_per_s: float | None = None
-    connections_full: bool = (
-        False  # a connection that it answered that it has no room for: the endpoint lives
-    )
+    connections_full: bool = False  # the endpoint is up, but answered that it accepts no further connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,19 +255,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A wake-up that was asked for has come."""
+    """The time of a requested ``Wake`` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Nobody wants this message any more; no answer is owed."""
+    """The client no longer wants this message; it gets no answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ban:
-    """An operator leaves an endpoint out, or lets it be used again; it holds whatever the directory says."""
+    """An operator bans an endpoint or lifts the ban; this holds whatever the directory lists."""
 
     host: str
     banned: bool
@@ -247,7 +278,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call an endpoint with a message; after ``begin_us`` the call must not begin any more (0: it may)."""
+    """Call an endpoint with a message and a time-out of ``timeout_us``.
+
+    The call must not begin later than ``latest_begin_us`` from now (0: no such bound).
+    """
 
     id: str
     host: str
@@ -257,7 +291,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: handed back, a retry is harmless."""
+    """Final answer: given up without success; a retry by the client is harmless."""
 
     id: str
     retry_after_us: int = 0
@@ -265,14 +299,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up, nothing is promised."""
+    """Final answer: given up without success; it may have been executed, and a retry may do harm."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt; its outcome is still reported."""
 
     id: str
     attempt: int
@@ -294,7 +328,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask the directory for the list's changes from now on."""
+    """Ask the directory for the endpoint list and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -306,7 +340,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A line for the log."""
 
     line: str
 
--- a/decisions/simulator_adapter.py
+++ b/decisions/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Wire adapter: translates the bench's text frames to events and the module's actions back.
+"""Adapter for the simulator: translates its text frames to events, and the engine's actions back to lines.
 
-It decides nothing. One process hosts any number of relays, which share nothing but the parser.
+It makes no decisions. One process hosts any number of relays, which share nothing but the parser.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
     "3": api.EndpointUpdateKind.FAILED,
 }
 LISTINGS = {"0": api.Listing.GONE, "1": api.Listing.READY, "2": api.Listing.DRAINING}
-MAX_TABLE_REF = 15
+MAX_TABLE_REF = 15  # host lists are numbered from 0
 
 
 class MalformedLineError(ValueError):
-    """A line that the wire does not allow."""
+    """A line that the protocol does not allow."""
 
 
 def parse_fields(text: str) -> Fields:
-    """Split ``name=value`` pairs; a part without ``=`` is malformed."""
+    """Parse ``name=value`` pairs separated by blanks; a part without ``=`` or a name is malformed."""
     pairs: Fields = {}
     for part in text.split():
         name, sign, value = part.partition("=")
@@ -51,14 +51,14 @@
 
 
 def required_value(pairs: Fields, name: str) -> str:
-    """A value that has to be there."""
+    """The value of a field that must be present and not empty."""
     if not pairs.get(name):
         raise MalformedLineError(f"missing {name}")
     return pairs[name]
 
 
 def parse_int(pairs: Fields, name: str, default: int | None = None) -> int:
-    """A whole number, or the default where the wire lets it be absent."""
+    """An integer; the default if the field is absent and has one."""
     text = pairs.get(name)
     if text is None and default is not None:
         return default
@@ -71,7 +71,7 @@
 
 
 def parse_float(pairs: Fields, name: str, default: float) -> float:
-    """A number, or the default where it is absent."""
+    """A number; the default if the field is absent."""
     text = pairs.get(name)
     if text is None:
         return default
@@ -82,7 +82,7 @@
 
 
 def parse_bool(pairs: Fields, name: str) -> bool:
-    """A truth value; absent means no."""
+    """A truth value; False if the field is absent."""
     text = pairs.get(name, "0")
     if text not in ("0", "1", "true", "false"):
         raise MalformedLineError(f"unreadable {name}: {text!r}")
@@ -90,7 +90,7 @@
 
 
 def parse_choice(table: dict[str, T], pairs: Fields, name: str) -> T:
-    """A value out of a fixed set of words."""
+    """What ``table`` holds for the field's word; the field must be present and its word in the table."""
     word = required_value(pairs, name)
     if word not in table:
         raise MalformedLineError(f"unknown {name}: {word!r}")
@@ -98,13 +98,13 @@
 
 
 def split_list(pairs: Fields, name: str) -> list[str]:
-    """A comma-joined list, empty where absent."""
+    """A list separated by commas; empty if the field is absent."""
     text = pairs.get(name, "")
     return text.split(",") if text else []
 
 
 def parse_float_list(pairs: Fields, name: str) -> list[float]:
-    """A comma-joined list of numbers."""
+    """A list of numbers separated by commas; empty if the field is absent."""
     try:
         return [float(text) for text in split_list(pairs, name)]
     except ValueError:
@@ -112,39 +112,48 @@
 
 
 def parse_message_class(pairs: Fields, number: int) -> api.MessageClass:
-    """One item of the list of classes."""
-    at = f"request_classes.{number}."
-    word = required_value(pairs, at + "effect")
+    """The message class with this number."""
+    prefix = f"request_classes.{number}."
+    word = required_value(pairs, prefix + "effect")
     if word not in ("safe", "keyed", "unsafe"):
-        raise MalformedLineError(f"unknown {at}effect: {word!r}")
+        raise MalformedLineError(f"unknown {prefix}effect: {word!r}")
     return api.MessageClass(
-        name=required_value(pairs, at + "name"),
+        name=required_value(pairs, prefix + "name"),
         effect=api.Effect(word),
-        aim_us=parse_int(pairs, at + "aim_us"),
-        deadline_us=parse_int(pairs, at + "deadline_us"),
-        worth=parse_float(pairs, at + "worth", 1.0),
-        late_worth=parse_float(pairs, at + "late_worth", 0.0),
-        key_window_us=parse_int(pairs, at + "dedup_window_us", 0),
-        key_scope_is_zone=pairs.get(at + "key_scope", "all") != "all",
-        ordered_by_key=parse_bool(pairs, at + "by_arrival"),
+        aim_us=parse_int(pairs, prefix + "aim_us"),
+        deadline_us=parse_int(pairs, prefix + "deadline_us"),
+        worth=parse_float(pairs, prefix + "worth", 1.0),
+        late_worth=parse_float(pairs, prefix + "late_worth", 0.0),
+        key_window_us=parse_int(pairs, prefix + "dedup_window_us", 0),
+        key_scope_is_zone=pairs.get(prefix + "key_scope", "all") != "all",
+        ordered_by_key=parse_bool(pairs, prefix + "by_arrival"),
     )
 
 
 def parse_settings(pairs: Fields) -> api.Settings:
-    """The settings of one relay; names that are not known here are left aside."""
-    apart, batch = split_list(pairs, "domain.kind_apart"), parse_float_list(pairs, "domain.batch_by_kind")
+    """The settings of one relay; unknown names are ignored."""
+    apart, batch_sizes = (
+        split_list(pairs, "domain.kind_apart"),
+        parse_float_list(pairs, "domain.batch_by_kind"),
+    )
     kinds = tuple(
-        api.DestinationKind(name, apart[at : at + 1] == ["true"], int(batch[at]) if at < len(batch) else 1)
-        for at, name in enumerate(split_list(pairs, "machine_types"))
+        api.DestinationKind(
+            name,
+            apart[index : index + 1] == ["true"],
+            int(batch_sizes[index]) if index < len(batch_sizes) else 1,
+        )
+        for index, name in enumerate(split_list(pairs, "machine_types"))
     )
     tenants = tuple(
         api.Tenant(
-            required_value(pairs, f"accounts.{at}.name"),
-            parse_float(pairs, f"accounts.{at}.quota_per_s", 0.0),
+            required_value(pairs, f"accounts.{index}.name"),
+            parse_float(pairs, f"accounts.{index}.quota_per_s", 0.0),
         )
-        for at in range(parse_int(pairs, "accounts.count", 0))
+        for index in range(parse_int(pairs, "accounts.count", 0))
+    )
+    classes = tuple(
+        parse_message_class(pairs, index) for index in range(parse_int(pairs, "request_classes.count"))
     )
-    classes = tuple(parse_message_class(pairs, at) for at in range(parse_int(pairs, "request_classes.count")))
     fees = zip(split_list(pairs, "zones"), parse_float_list(pairs, "domain.toll"), strict=False)
     weights = pairs.get("weights", "off")
     return api.Settings(
@@ -194,7 +203,7 @@
 
 
 def parse_load_report(pairs: Fields) -> dict[str, float]:
-    """The values of a load report; those that cannot be read are left out as unknown."""
+    """The values of a load report by name; those that are no numbers are left out, as if not reported."""
     report: dict[str, float] = {}
     for part in split_list(pairs, "pressure"):
         name, _, value = part.partition(":")
@@ -206,7 +215,7 @@
 
 
 def parse_arrival(pairs: Fields) -> api.Arrival:
-    """A message handed in."""
+    """A message handed in by a client."""
     return api.Arrival(
         id=required_value(pairs, "xid"),
         dest=parse_int(pairs, "terminates_at"),
@@ -218,7 +227,7 @@
 
 
 def parse_outcome(pairs: Fields) -> api.Outcome:
-    """The end of an attempt; the note of a refusal is its wait in milliseconds."""
+    """The end of an attempt; ``detail`` of a refusal is the wait asked for, in milliseconds."""
     verdict, report = parse_choice(VERDICTS, pairs, "verdict"), parse_load_report(pairs)
     wait_ms = parse_int(pairs, "detail", 0) if verdict is api.Verdict.FULL else 0
     return api.Outcome(
@@ -247,12 +256,12 @@
 
 
 def parse_timer(_pairs: Fields) -> api.TimerDue:
-    """A wake-up; its label carries nothing."""
+    """A wake-up; its label has no meaning."""
     return api.TimerDue()
 
 
 def parse_withdrawn(pairs: Fields) -> api.Withdrawn:
-    """A message that nobody wants any more."""
+    """A message that its client no longer wants."""
     return api.Withdrawn(required_value(pairs, "xid"))
 
 
@@ -267,7 +276,7 @@
 
 
 def format_action(who: str, action: api.Action) -> str:
-    """One action as a line of the wire."""
+    """One action of the relay ``who`` as a line of the protocol."""
     match action:
         case api.Send(id=xid, host=host, timeout_us=limit):
             return f"try who={who} xid={xid} host={host} limit_us={limit}"
@@ -290,22 +299,24 @@
 
 
 class FrameServer:
-    """One process's conversation: the relays it hosts and the batch being read."""
+    """One process's conversation with the simulator: the relays that it hosts and the batch being read."""
 
     def __init__(self, lines: Iterator[str], out: IO[str]) -> None:
         """Read frames from ``lines`` and write replies to ``out``."""
-        self._lines, self._out, self._line_number = lines, out, 0
+        self._lines = lines
+        self._out = out
+        self._line_number = 0
         self._relays: dict[str, DecisionEngine] = {}
         self._tables: dict[int, tuple[api.Entry, ...]] = {}
         self._events: dict[str, list[api.Event]] = {}
 
     @property
     def line_number(self) -> int:
-        """The number of the line read last."""
+        """The number of the line read last, from 1."""
         return self._line_number
 
     def _next_line(self) -> str | None:
-        """The next line without its end, or None at the end of input."""
+        """The next line without its line end, or None at the end of input."""
         line = next(self._lines, None)
         if line is None:
             return None
@@ -326,7 +337,7 @@
         self._tables[ref] = tuple(entries)
 
     def _parse_endpoint_update(self, pairs: Fields) -> api.EndpointUpdate:
-        """News of the list, with the table it names as it stands at this line."""
+        """An update of the endpoint list, with the table that it names as it is at this line."""
         kind = parse_choice(UPDATE_KINDS, pairs, "form")
         if kind is api.EndpointUpdateKind.FAILED:
             return api.EndpointUpdate(kind)
@@ -336,7 +347,7 @@
         return api.EndpointUpdate(kind, self._tables[ref])
 
     def _start_relay(self, rest: str) -> str:
-        """Start a relay afresh; its settings fill the rest of the line."""
+        """Start a relay anew with the settings in the rest of the line, and return its name."""
         pairs = parse_fields(rest)
         who, seed = required_value(pairs, "who"), parse_int(pairs, "init_seed")
         try:
@@ -349,7 +360,7 @@
         return who
 
     def _read_event(self, line: str) -> None:
-        """Take in one line of a batch."""
+        """Process one line of a batch."""
         name, _, rest = line.partition(" ")
         if name == "init":
             self._start_relay(rest)
@@ -372,7 +383,7 @@
             batch.append(EVENT_PARSERS[name](pairs))
 
     def _write_reply(self, now_us: int) -> None:
-        """Let every relay that had an event act, in order of their first events."""
+        """Run a step of every relay that had events, in order of their first ones, and write the actions."""
         lines: list[str] = []
         for who, events in self._events.items():
             relay = self._relays.get(who)
@@ -380,7 +391,7 @@
                 continue
             try:
                 lines += [format_action(who, action) for action in relay.step(now_us, events)]
-            except Exception as error:  # the wire wants it told
+            except Exception as error:  # the protocol asks for a line about a relay that crashed
                 text = " ".join(f"{type(error).__name__}: {error}".split())
                 lines.append(f"die who={who} line={text}")
         self._out.write("".join(f"{line}\n" for line in (*lines, "ok")))
@@ -408,12 +419,12 @@
 
 def main() -> int:
     """Serve standard input until its end; 2 after a line that cannot be read."""
-    wire = FrameServer(iter(sys.stdin), sys.stdout)
+    server = FrameServer(iter(sys.stdin), sys.stdout)
     try:
-        while wire.serve_frame():
+        while server.serve_frame():
             pass
     except MalformedLineError as error:
-        print(f"line {wire.line_number}: {error}", file=sys.stderr)
+        print(f"line {server.line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/decisions/state.py
+++ b/decisions/state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers: plain records that ``decisions/engine.py`` fills and judges; it decides nothing."""
+"""The state that a relay keeps. ``decisions/engine.py`` fills and evaluates it; nothing is decided here."""
 
 from __future__ import annotations
 
@@ -7,30 +7,38 @@
 from decisions.interface import Arrival, DestinationKind, Entry, Listing, MessageClass
 from decisions.ranked_queue import DeadlineQueue
 
-MIN_RATE_SPAN_US = 1_000_000  # us of events at least, before their number tells a rate
+MIN_RATE_SPAN_US = 1_000_000  # us: a rate is computed over at least this span, however young the counter is
 
 
 class DecayingCounter:
-    """Events and how many of them count; they fade over ``memory_us`` and, by ``keep``, with each event."""
+    """Counts events and hits among them; both decay with a time constant and, if asked for, with each event.
 
-    def __init__(self, memory_us: int, keep: float = 1.0) -> None:
-        self.decay_us, self.keep_per_event = memory_us, keep
-        self.hits, self.total, self.updated_us = 0.0, 0.0, 0
+    ``decay_us`` is the time in us in which counts fall to 1/e. ``keep_per_event`` is the factor by which
+    earlier counts are multiplied at each event; 1.0 leaves them to time alone.
+    """
+
+    def __init__(self, decay_us: int, keep_per_event: float = 1.0) -> None:
+        self.decay_us = decay_us
+        self.keep_per_event = keep_per_event
+        self.hits = 0.0
+        self.total = 0.0
+        self.updated_us = 0  # when the counts were brought up to date last
 
     def add(self, hit: bool, now_us: int, weight: float = 1.0) -> None:
-        """Take in an event; what came before fades."""
-        fade = self.keep_per_event * math.exp((self.updated_us - now_us) / self.decay_us)
-        self.hits, self.total, self.updated_us = self.hits * fade + hit, self.total * fade + weight, now_us
+        """Count an event that counts ``weight`` in the total; earlier counts decay."""
+        decay = self.keep_per_event * math.exp((self.updated_us - now_us) / self.decay_us)
+        self.hits, self.total, self.updated_us = self.hits * decay + hit, self.total * decay + weight, now_us
 
     def hit_ratio(self, now_us: int) -> float:
-        """The share that counts; one event that does not is taken as known from the start."""
-        fade = math.exp((self.updated_us - now_us) / self.decay_us)
-        return self.hits * fade / (self.total * fade + 1)
+        """Hits as a share of all events, with one event without a hit assumed beside those counted."""
+        decay = math.exp((self.updated_us - now_us) / self.decay_us)
+        return self.hits * decay / (self.total * decay + 1)
 
     def rate_per_s(self, now_us: int, since_us: int) -> float:
-        """Events a second, where all are kept: right in the sum over relays, however few each one sees.
+        """Events a second, for a ``keep_per_event`` of 1; right in the sum over relays, however few one sees.
 
-        Counted since then: a memory that has not filled yet holds less than its length of events.
+        ``since_us`` is when counting began: a counter younger than its time constant holds fewer events than
+        the rate implies, and the result is corrected for that.
         """
         filled = 1 - math.exp(-max(MIN_RATE_SPAN_US, now_us - since_us) / self.decay_us)
         return (
@@ -39,149 +47,157 @@
 
 
 class CallStats:
-    """How a class of message fares, at an endpoint or anywhere: answer times, and failures of its own."""
+    """Call latency and failures of one message class, at one endpoint or over all endpoints."""
 
-    def __init__(self, guess_us: float, bad: DecayingCounter) -> None:
-        self.mean_us, self.deviation_us, self.failures = guess_us, guess_us, bad
+    def __init__(self, guess_us: float, failures: DecayingCounter) -> None:
+        self.mean_us = guess_us
+        self.deviation_us = guess_us  # mean absolute deviation
+        self.failures = failures
 
     def update_latency(self, took_us: float, weight: float) -> None:
-        """Move mean and spread towards the newest answer."""
+        """Move mean and deviation towards the newest latency by ``weight``, a share from 0 to 1."""
         self.deviation_us += weight * (abs(took_us - self.mean_us) - self.deviation_us)
         self.mean_us += weight * (took_us - self.mean_us)
 
 
 class LimiterState:
-    """What bounds calls to an endpoint, or to all that share a limit: failures, pauses, pace, cold return."""
-
-    def __init__(self, memory_us: int) -> None:
-        self.failures_in_row, self.last_failure_us, self.last_failure_was_refusal = (
-            0,
-            0,
-            False,
-        )  # failures in a row; of the last
-        self.last_success_us, self.cold_since_us = (
-            -(1 << 60),
-            -1,
-        )  # last success; when a cold return began (-1: warm)
-        self.told_wait_until_us, self.pause_until_us = 0, 0  # told to wait until; own pause until
-        self.advertised_rate, self.allowed_rate, self.allowed_rate_at_us = (
-            0.0,
-            math.inf,
-            0,
-        )  # calls/s: told for all (0: not); own pace
-        self.rate_at_last_refusal, self.last_refusal_us = math.inf, 0  # the pace that was refused last; when
-        self.share_left_at_us = -1  # when the share of the limit that is left was told last (-1: never)
-        self.demand, self.served = (
-            DecayingCounter(memory_us),
-            DecayingCounter(memory_us),
-        )  # own messages that came, own successes
+    """What limits calls to one endpoint, or to all endpoints that share a rate limit.
+
+    That is failures in a row, pauses, the allowed rate, and the warm-up after an outage. Rates are in
+    calls a second.
+    """
+
+    def __init__(self, decay_us: int) -> None:
+        self.failures_in_row = 0
+        self.last_failure_us = 0  # when a failure was counted in the row last
+        self.last_failure_was_refusal = False
+        self.last_success_us = -(1 << 60)  # long ago: none yet
+        self.cold_since_us = -1  # when the warm-up after an outage began (-1: warm)
+        self.told_wait_until_us = 0  # the server asked for no calls before this time
+        self.pause_until_us = 0  # this relay's own pause
+        self.advertised_rate = 0.0  # limit for all relays together, as reported (0: not reported)
+        self.allowed_rate = math.inf  # limit for this relay, at the time below
+        self.allowed_rate_at_us = 0
+        self.rate_at_last_refusal = (
+            math.inf
+        )  # average of the allowed rates that were refused, the latest weighs half
+        self.last_refusal_us = 0
+        self.share_left_at_us = -1  # when the share left of the limit was reported last (-1: never)
+        self.demand = DecayingCounter(decay_us)  # messages for it that arrived at this relay
+        self.served = DecayingCounter(decay_us)  # this relay's successful calls
 
 
 class Endpoint:
-    """One address: its calls in flight, quota, failure ratio and records by class."""
+    """One address of a destination: its calls in flight, quota, failure ratio and statistics by class."""
 
     def __init__(
         self,
         entry: Entry,
         kind: DestinationKind,
-        shared: LimiterState,
-        own: LimiterState,
-        ratio: DecayingCounter,
+        shared_limiter: LimiterState,
+        own_limiter: LimiterState,
+        failures: DecayingCounter,
     ) -> None:
-        self.host, self.dest, self.zone, self.kind = entry.host, entry.dest, entry.zone, kind
-        self.listing, self.failures, self.own_limiter = entry.listing, ratio, own
-        self.rate_limiter = own if kind.limit_per_endpoint else shared
-        self.limiters = (own,) if kind.limit_per_endpoint else (own, shared)
+        self.host = entry.host
+        self.dest = entry.dest
+        self.zone = entry.zone
+        self.kind = kind
+        self.listing = entry.listing
+        self.failures = failures
+        self.own_limiter = own_limiter
+        self.rate_limiter = own_limiter if kind.limit_per_endpoint else shared_limiter
+        self.limiters = (own_limiter,) if kind.limit_per_endpoint else (own_limiter, shared_limiter)
         self.calls: list[Call] = []
         self.stats_by_class: dict[str, CallStats] = {}
-        self.quota, self.full_quota = 0.0, 0.0  # calls in flight allowed now, and at most
-        self.joined_late = False  # whether it joined others on the list
-        self.latest_answered_send_us = -1  # when the latest call was sent that was answered
-        self.banned = False  # whether an operator leaves it out
-        self.last_call_end_us = 0  # when a call last ended (0: no connection is left)
-        self.connection_rejections = 0  # connections turned away since one served
-        self.connection_cap, self.connection_cap_at_us = (
-            math.inf,
-            0,
-        )  # own calls beside which a connection was turned away; when
+        self.quota = 0.0  # calls in flight that are allowed now
+        self.full_quota = 0.0  # calls in flight that are allowed at most
+        self.joined_late = False  # whether it was listed when other endpoints were already known
+        self.latest_answered_send_us = -1  # send time of the latest call that was answered with success
+        self.banned = False  # whether an operator has excluded it
+        self.last_call_end_us = 0  # when a call ended last (0: no connection is left)
+        self.connection_rejections = 0  # connections turned away since the last success
+        self.connection_cap = (
+            math.inf
+        )  # own calls in flight when a connection was turned away, at the time below
+        self.connection_cap_at_us = 0
 
 
 class Call:
-    """One call out: a slot, an endpoint and the messages that share its fate."""
-
-    def __init__(self, endpoint: Endpoint, now_us: int, overdue_us: float, idle_us: int) -> None:
-        self.endpoint, self.sent_us, self.overdue_after_us, self.connection_idle_us = (
-            endpoint,
-            now_us,
-            overdue_us,
-            idle_us,
+    """One call that is out: it takes a slot, and the messages that share it end with it."""
+
+    def __init__(
+        self, endpoint: Endpoint, now_us: int, overdue_after_us: float, connection_idle_us: int
+    ) -> None:
+        self.endpoint = endpoint
+        self.sent_us = now_us
+        self.overdue_after_us = overdue_after_us  # age from which it is overdue
+        self.connection_idle_us = (
+            connection_idle_us  # time since the last call there ended (0: new connection)
         )
         self.calls_beside = len(endpoint.calls)  # calls that were out there when it was sent
-        self.message_count, self.open_attempts = 0, 0
-        self.attempt_by_message: dict[
-            str, int
-        ] = {}  # its messages' ids, with the number of each one's attempt
-        self.given_up = False  # whether it was given up for hanging alone
+        self.message_count = 0
+        self.open_attempts = 0  # messages of it without an outcome
+        self.attempt_by_message: dict[str, int] = {}  # attempt number by message id
+        self.given_up = False  # whether it was cancelled for hanging while later calls were answered
 
 
 class Message:
-    """A message taken in and what is known of its attempts."""
+    """A message taken on and what is known of its attempts."""
 
     def __init__(self, event: Arrival, cls: MessageClass, now_us: int, worth: float) -> None:
-        self.id, self.dest, self.cls, self.worth = event.id, event.dest, cls, worth
-        self.key, self.deadline_us = event.key if cls.ordered_by_key else "", now_us + event.time_left_us
+        self.id = event.id
+        self.dest = event.dest
+        self.cls = cls
+        self.worth = worth
+        self.key = event.key if cls.ordered_by_key else ""
+        self.deadline_us = now_us + event.time_left_us
         self.aim_us = self.deadline_us - cls.deadline_us + cls.aim_us
-        self.open_calls: dict[int, Call] = {}
-        self.arrival_number, self.order = (
-            0,
-            0,
-        )  # its place among all that came; among those held (0: it is not)
-        self.attempts, self.timeouts, self.done = event.attempts, 0, False
-        self.uncertain_since_us, self.uncertain_zone = (
-            -1,
-            "",
-        )  # first attempt that may have run: when sent, and its zone
-        if event.uncertain_age_us >= 0:  # made in a former life of this relay
-            self.uncertain_since_us, self.uncertain_zone = (
-                max(0, now_us - event.uncertain_age_us),
-                event.uncertain_zone,
-            )
+        self.open_calls: dict[int, Call] = {}  # by attempt number
+        self.arrival_number = 0  # counts all arrivals from 1
+        self.queue_position = 0  # place among the held messages (0: not held)
+        self.attempts = event.attempts
+        self.timeouts = 0
+        self.done = False
+        self.uncertain_since_us = -1  # when the first attempt that may have run was sent (-1: none may have)
+        self.uncertain_zone = ""  # zone of that attempt
+        if event.uncertain_age_us >= 0:  # it was made by a previous process of this relay
+            self.uncertain_since_us = max(0, now_us - event.uncertain_age_us)
+            self.uncertain_zone = event.uncertain_zone
 
 
 class Destination:
-    """A partner: its endpoints, the messages held for it, and the limit that its endpoints share."""
+    """A partner: its endpoints, the messages held for it, and the limiter that its endpoints share."""
 
-    def __init__(self, limit: LimiterState) -> None:
-        self.rate_limiter = limit
+    def __init__(self, rate_limiter: LimiterState) -> None:
+        self.rate_limiter = rate_limiter
         self.endpoints: dict[str, Endpoint] = {}
-        self.next_check_us = 0  # the next look that is due; past where none is
-        self.held: dict[str, Message] = {}  # in the order of ``Message.order``
-        self.queues: dict[
-            tuple[str, float, int], DeadlineQueue[Message]
-        ] = {}  # the same, by what ranks them alike
-
-    def hold(self, message: Message, order: int) -> None:
-        """Take a message in line; one that is there keeps its place."""
-        if message.order:
+        self.next_check_us = 0  # when it is checked next; a time in the past where no check is due
+        self.held: dict[str, Message] = {}  # by id, in order of ``Message.queue_position``
+        # The same messages by class, worth and attempts, which their rank depends on beside the deadline.
+        self.queues: dict[tuple[str, float, int], DeadlineQueue[Message]] = {}
+
+    def hold(self, message: Message, position: int) -> None:
+        """Queue a message; one that is held already keeps its position."""
+        if message.queue_position:
             return
-        message.order, self.held[message.id] = order, message
+        message.queue_position, self.held[message.id] = position, message
         self.queues.setdefault(self._queue_key(message), DeadlineQueue()).add(message.deadline_us, message)
 
     def release(self, message: Message) -> None:
-        """Take a message out of the line, where it is in it."""
-        if not message.order:
+        """Remove a message from the queue if it is held."""
+        if not message.queue_position:
             return
-        message.order = 0
+        message.queue_position = 0
         del self.held[message.id]
-        lane = self.queues[name := self._queue_key(message)]
-        lane.mark_removed()
-        if not lane:
-            del self.queues[name]
+        queue = self.queues[key := self._queue_key(message)]
+        queue.mark_removed()
+        if not queue:
+            del self.queues[key]
 
     @staticmethod
     def _queue_key(message: Message) -> tuple[str, float, int]:
         return message.cls.name, message.worth, message.attempts
 
     def usable_endpoints(self) -> list[Endpoint]:
-        """Endpoints that the directory lists as ready and no operator leaves out."""
+        """Endpoints that the directory lists as ready and no operator has banned."""
         return [e for e in self.endpoints.values() if e.listing is Listing.READY and not e.banned]
--- a/tests/test_ranked_queue.py
+++ b/tests/test_ranked_queue.py
@@ -122,7 +122,7 @@
 class Item:
     """What a lane holds."""
 
-    order: int
+    queue_position: int
     value: float
 
 
@@ -138,10 +138,10 @@
     for order, (deadline, _) in enumerate(parts, 1):
         items.append(Item(order, rank(deadline)))
         lane.add(deadline, items[-1])
-    for item in data.draw(st.lists(st.sampled_from(items), unique_by=lambda item: item.order)):
-        item.order = 0
+    for item in data.draw(st.lists(st.sampled_from(items), unique_by=lambda item: item.queue_position)):
+        item.queue_position = 0
         lane.mark_removed()
-    stay = sorted((item for item in items if item.order), key=lambda item: (item.value, item.order))
+    stay = sorted((item for item in items if item.queue_position), key=lambda item: (item.value, item.queue_position))
     assert len(lane) == len(stay)
     if stay:
         assert [item for _, _, item in lane.ranked([7, 14], lambda item: item.value)] == stay
