--- a/decisions/__init__.py
+++ b/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""decisions: the decisions of a relay that delivers webhooks and other calls to many destinations."""
+"""The decision engine of a relay that delivers messages by HTTP calls to many destinations; it does no I/O."""
 
 from decisions.engine import DecisionEngine
 
--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -59,11 +59,15 @@
 NEWEST_CALL_WEIGHT = 0.15  # of the newest call in ratios and latencies: about seven calls of memory
 # us in which evidence fades to a third: ratios, own demand, an allowed rate that was lowered
 EVIDENCE_DECAY_US = 10_000_000
-QUOTA_DOWN_FAILURE_RATIO = 0.3  # failure ratio above which a failure lowers the quota
-QUOTA_UP_FAILURE_RATIO = 0.1  # failure ratio below which the quota grows even with a failure
+# Failure ratio above which a failure lowers the quota, and the destination keeps to FAILING_SLOT_SHARE.
+QUOTA_DOWN_FAILURE_RATIO = 0.3
+# Failure ratio below which the quota grows even with a failure. Divided by the group's size also the share of
+# failed connects above which idle connections are closed.
+QUOTA_UP_FAILURE_RATIO = 0.1
 QUOTA_DOWN_FACTOR = 0.7  # factor of the quota for a step down
 QUOTA_UP_SHARE = 0.1  # share of the full quota that a step up adds
-OUTAGE_FAILURE_RATIO = 0.5  # failure ratio above which an endpoint that does not only refuse is in an outage
+# Failure ratio above which an endpoint that does not only refuse is in an outage; for trials likewise.
+OUTAGE_FAILURE_RATIO = 0.5
 MAX_LIMIT_REPORT_AGE_US = (
     1_000_000  # us: time since the last report of a limit counts for no longer than this
 )
