--- a/decisions/__init__.py
+++ b/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""The decision engine of a relay that delivers messages by HTTP calls to many destinations; it does no I/O."""
+"""The decision engine of a relay that delivers messages by HTTP calls to many destinations, without I/O."""
 
 from decisions.engine import DecisionEngine
 
--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -68,9 +68,8 @@
 QUOTA_UP_SHARE = 0.1  # share of the full quota that a step up adds
 # Failure ratio above which an endpoint that does not only refuse is in an outage; for trials likewise.
 OUTAGE_FAILURE_RATIO = 0.5
-MAX_LIMIT_REPORT_AGE_US = (
-    1_000_000  # us: time since the last report of a limit counts for no longer than this
-)
+# us: the time since the last report of a limit counts for no longer than this
+MAX_LIMIT_REPORT_AGE_US = 1_000_000
 COLD_RETURN_GAP_US = 2_000_000  # us with failures and no success after which a return is taken for a cold one
 MIN_TRIAL_GAP_US = 200_000  # us until the first trial after a failure, where this relay's share is large
 MAX_TRIAL_GAP_US = 3_000_000  # us between trials at most, likewise
@@ -88,9 +87,8 @@
 REFUSED_RATE_FACTOR = 0.8  # factor of the allowed rate after a refusal above a limit
 SERVED_RATE_FACTOR = 1.03  # factor of the allowed rate after a success
 MAX_SMALL_GROUP = 4  # relays; in a group up to this size each sees by itself what all take of a limit
-REPORTED_LIMIT_REFUSED_FACTOR = (
-    0.6  # replaces REFUSED_RATE_FACTOR where the share left of a limit is reported
-)
+# Replaces REFUSED_RATE_FACTOR in a large group where the share left of a limit is reported.
+REPORTED_LIMIT_REFUSED_FACTOR = 0.6
 MIN_EQUAL_SHARE = 0.5  # lowest allowed rate in that case, as a share of the relay's equal part of the limit
 MIN_ASK_GAP_US = 500_000  # us before a watch that broke is asked for again
 LIST_QUEUE_US = 125_000  # us that one endpoint list takes where all relays queue for it
@@ -105,9 +103,8 @@
 MIN_ADVERTISED_RATE = 0.1  # calls/s: an advertised rate below it is not believed
 MAX_ADVERTISED_RATE = 100_000.0  # calls/s: an advertised rate above it is not believed
 MAX_RATE_CHANGE_FACTOR = 4.0  # factor by which one report changes an advertised rate at most
-LOWERED_LIMIT_RATIO = (
-    0.75  # an advertised rate under so much of the last one is a lowered limit, and no noise
-)
+# An advertised rate below this share of the last one is a lowered limit, and no noise.
+LOWERED_LIMIT_RATIO = 0.75
 TRUSTED_IDLE_DOWN_FACTOR = 0.5  # factor of the trusted idle age when a reused connection was cut
 TRUSTED_IDLE_UP_FACTOR = 1.005  # factor of the trusted idle age at any other end of a call
 STATUS_LOG_INTERVAL_US = 5_000_000  # us between log lines on destinations that hold messages
@@ -135,9 +132,8 @@
         self.dests = dict[int, Destination]()
         self.banned = set[str]()  # hosts banned by operators, listed or not
         self.key_queues = dict[str, list[Message]]()  # by key: messages in order of arrival
-        self.key_cooldown_until_us = dict[
-            str, int
-        ]()  # by key: when an attempt that may still run is surely over
+        # By key: until when an attempt that may still run is given time to end.
+        self.key_cooldown_until_us = dict[str, int]()
         self.baseline_stats: dict[str, CallStats] = {}  # by class, over all endpoints
         # By tenant: its quota in messages/s across all relays, and its own arrivals here.
         self.tenant_arrivals = {
@@ -149,9 +145,8 @@
         self.trusted_idle_us = float(settings.keepalive_us)
         self.served_idle_us = 0.0  # the oldest idle age from which a connection lately served
         self.served_idle_at_us = 0  # when it did
-        self.connect_failures_by_kind: dict[
-            str, DecayingCounter
-        ] = {}  # by kind: calls that found no connection
+        # By kind of destination: calls, and those of them that got no connection.
+        self.connect_failures_by_kind: dict[str, DecayingCounter] = {}
         # Trials of failing endpoints that failed again: after failures other than refusals, after refusals.
         self.trial_failures = (
             DecayingCounter(EVIDENCE_DECAY_US, 1 - NEWEST_CALL_WEIGHT),
@@ -169,15 +164,13 @@
         # often started together and then all ask at the same time.
         self.ask_gap_us = max(MIN_ASK_GAP_US, self._ask_round_us)
         self.last_ask_us = 0
-        self.update_joins_late = (
-            False  # whether the last endpoint update came when endpoints were already known
-        )
+        # Whether the last endpoint update came when endpoints were already known.
+        self.update_joins_late = False
         self.next_status_us = 0  # when destinations that hold messages are logged next
         self.dests_to_check: dict[int, None] = {}  # destinations that an event or a due time concerns
         self.check_heap: list[tuple[int, int]] = []  # heap of (us, destination): when to check it again
-        self.expiry_heap: list[
-            tuple[int, int, str]
-        ] = []  # heap of (us, place, id): when to answer a held message
+        # Heap of (us, place, id): when to answer a held message.
+        self.expiry_heap: list[tuple[int, int, str]] = []
 
     def resume(self) -> None:
         """Continue in another process: the wake-up asked for is lost with the old one."""
--- a/decisions/state.py
+++ b/decisions/state.py
@@ -78,9 +78,8 @@
         self.advertised_rate = 0.0  # limit for all relays together, as reported (0: not reported)
         self.allowed_rate = math.inf  # limit for this relay, at the time below
         self.allowed_rate_at_us = 0
-        self.rate_at_last_refusal = (
-            math.inf
-        )  # average of the allowed rates that were refused, the latest weighs half
+        # Average of the allowed rates that were refused, of which the latest weighs half (inf: none was).
+        self.rate_at_last_refusal = math.inf
         self.last_refusal_us = 0
         self.share_left_at_us = -1  # when the share left of the limit was reported last (-1: never)
         self.demand = DecayingCounter(decay_us)  # messages for it that arrived at this relay
@@ -116,9 +115,8 @@
         self.banned = False  # whether an operator has excluded it
         self.last_call_end_us = 0  # when a call ended last (0: no connection is left)
         self.connection_rejections = 0  # connections turned away since the last success
-        self.connection_cap = (
-            math.inf
-        )  # own calls in flight when a connection was turned away, at the time below
+        # Own calls in flight when a connection was turned away, at the time below.
+        self.connection_cap = math.inf
         self.connection_cap_at_us = 0
 
 
@@ -131,9 +129,8 @@
         self.endpoint = endpoint
         self.sent_us = now_us
         self.overdue_after_us = overdue_after_us  # age from which it is overdue
-        self.connection_idle_us = (
-            connection_idle_us  # time since the last call there ended (0: new connection)
-        )
+        # Time since the last call there ended (0: its connection is new).
+        self.connection_idle_us = connection_idle_us
         self.calls_beside = len(endpoint.calls)  # calls that were out there when it was sent
         self.message_count = 0
         self.open_attempts = 0  # messages of it without an outcome
