--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -369,7 +369,7 @@
     assert sum(at_us > 2 * SECOND for at_us, _ in log) >= 0.75 * 3 * SECOND / 40_000
 
 
-def test_what_a_former_life_left_is_demand() -> None:
+def test_restored_messages_count_as_demand() -> None:
     """Without restored messages in the demand, the first refusal ended nearly all calls."""
     relay = DecisionEngine(settings(slots=40), 1)
     restored = [arrival(f"m{number}") for number in range(50)]
--- a/tests/test_ranked_queue.py
+++ b/tests/test_ranked_queue.py
@@ -114,14 +114,16 @@
 
 @pytest.mark.parametrize("halves", [False, True])
 @pytest.mark.parametrize("seed", range(12))
-def test_the_fast_search_decides_as_the_plain_one(seed: int, halves: bool) -> None:
+def test_the_ranked_search_decides_as_the_scan(seed: int, halves: bool) -> None:
     """With failures, refusals, waits, trials, batches, keys and a full queue."""
     assert compare_engines(config(halves), seed, 250, 12) > 30
 
 
 @profile(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(st.integers(0, 1 << 32), st.booleans(), st.integers(1, 30))
-def test_it_does_so_on_any_day(seed: int, halves: bool, max_clump: int) -> None:
+def test_the_ranked_search_decides_as_the_scan_on_random_events(
+    seed: int, halves: bool, max_clump: int
+) -> None:
     compare_engines(config(halves, 60), seed, 60, max_clump)
 
 
@@ -135,7 +137,9 @@
 
 @profile(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 20), st.integers(0, 4)), min_size=1, max_size=40), st.data())
-def test_a_lane_tells_all_in_order_whatever_left(parts: list[tuple[int, int]], data: st.DataObject) -> None:
+def test_a_queue_yields_the_remaining_messages_by_rank(
+    parts: list[tuple[int, int]], data: st.DataObject
+) -> None:
     """For a rank that rises, stays and falls; equal ranks by queue position."""
 
     def rank(deadline: int) -> float:
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -12,7 +12,7 @@
     return api.Arrival("m1", 1, cls.name, 10 * SECOND, "", key, 1, age_us, zone)
 
 
-def test_a_keyed_one_goes_only_to_the_zone_of_its_first_try() -> None:
+def test_a_keyed_one_goes_only_to_the_zone_of_its_first_attempt() -> None:
     relay = DecisionEngine(settings(zone_fees={"a": 0.5, "b": 0.0}), 1)
     hosts = endpoint_update(entry("h1", zone="a"), entry("h2", zone="b"))
     assert [s.host for s in sends(relay.step(0, [hosts, restored(ZONED)]))] == ["h1"]
@@ -37,7 +37,7 @@
     assert [type(action) for action in actions if not isinstance(action, api.Wake)] == [api.Refuse]
 
 
-def test_the_next_of_a_key_rests_after_a_try_of_the_former_life() -> None:
+def test_the_next_of_a_key_waits_for_an_attempt_of_the_previous_process() -> None:
     """That attempt may still run at its host when the new process starts."""
     relay, pause_us = DecisionEngine(settings(), 1), settings().order_pause_us
     later = api.Arrival("m2", 1, ORDERED.name, 10 * SECOND, "", "k")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
 
 Listing = api.Listing
 Verdict = api.Verdict
-Kind = api.EndpointUpdateKind
+UpdateKind = api.EndpointUpdateKind
 
 
 def run_quiet(checker: Checker, start_us: int, until_us: int, gap_us: int = 20_000) -> list[api.Action]:
@@ -51,7 +51,7 @@
 def test_an_endpoint_that_appears_gets_what_is_held() -> None:
     checker = Checker(settings())
     checker.step(0, [endpoint_update(), arrival("m1")])
-    assert sends(checker.step(SECOND, [endpoint_update(entry("h1"), kind=Kind.CHANGES)]))
+    assert sends(checker.step(SECOND, [endpoint_update(entry("h1"), kind=UpdateKind.CHANGES)]))
 
 
 @pytest.mark.parametrize("verdict", [Verdict.TIMEOUT, Verdict.ERROR, Verdict.RESET, Verdict.CANCELLED])
@@ -90,7 +90,7 @@
 def test_draining_and_gone_endpoints_get_nothing() -> None:
     checker = Checker(settings())
     checker.step(0, [endpoint_update(entry("h1"), entry("h2"))])
-    checker.step(10_000, [endpoint_update(entry("h1", listing=Listing.DRAINING), kind=Kind.CHANGES)])
+    checker.step(10_000, [endpoint_update(entry("h1", listing=Listing.DRAINING), kind=UpdateKind.CHANGES)])
     assert {s.host for s in sends(checker.step(20_000, [arrival("m1"), arrival("m2")]))} == {"h2"}
     checker.step(30_000, [endpoint_update(entry("h3"))])
     assert {s.host for s in sends(checker.step(40_000, [arrival("m3")]))} == {"h3"}
@@ -101,7 +101,7 @@
     checker = Checker(settings())
     checker.step(0, [api.Ban("h1", True), endpoint_update(entry("h1"), entry("h2"))])
     checker.step(
-        10_000, [endpoint_update(entry("h2"), kind=Kind.CHANGES), endpoint_update(entry("h1", dest=2))]
+        10_000, [endpoint_update(entry("h2"), kind=UpdateKind.CHANGES), endpoint_update(entry("h1", dest=2))]
     )
     checker.step(20_000, [endpoint_update(entry("h1"), entry("h2"))])
     assert {s.host for s in sends(checker.step(30_000, [arrival(f"m{n}") for n in range(4)]))} == {"h2"}
@@ -143,7 +143,7 @@
     assert [a for a in actions if isinstance(a, api.Refuse)]
 
 
-def test_order_by_key_one_at_a_time_and_a_rest_after_a_timeout() -> None:
+def test_order_by_key_one_at_a_time_and_a_cooldown_after_a_timeout() -> None:
     checker = Checker(settings())
     batch: list[api.Event] = [
         endpoint_update(entry("h1")),
@@ -154,12 +154,12 @@
     assert send.id == "m1"
     actions = checker.step(SECOND, [ended(send, Verdict.TIMEOUT)]) + run_quiet(checker, SECOND, 4 * SECOND)
     [again] = sends(actions)
-    assert again.id == "m1", "the one that has the turn may go again"
+    assert again.id == "m1", "the first message of the key may be repeated"
     actions = checker.step(4 * SECOND, [ended(again, attempt=1)])
     assert [s.id for s in sends(actions)] == ["m2"]
 
 
-def test_order_rests_when_the_earlier_message_ended_unsettled() -> None:
+def test_a_key_cools_down_when_its_earlier_message_ended_unsettled() -> None:
     checker = Checker(settings(max_attempts=1))
     batch: list[api.Event] = [
         endpoint_update(entry("h1")),
@@ -221,10 +221,10 @@
 
 def test_ask_discovery_subscribes_and_asks_again_after_failures() -> None:
     checker = Checker(settings(must_ask=True, ask_within_us=10 * SECOND))
-    assert api.Subscribe() in checker.step(0, [endpoint_update(entry("h1"), kind=Kind.CACHED)])
-    for turn in range(1, 8):
-        actions = checker.step(turn * 10 * SECOND, [api.EndpointUpdate(Kind.FAILED)])
-        actions += run_quiet(checker, turn * 10 * SECOND + 20_000, turn * 10 * SECOND + 4 * SECOND)
+    assert api.Subscribe() in checker.step(0, [endpoint_update(entry("h1"), kind=UpdateKind.CACHED)])
+    for number in range(1, 8):
+        actions = checker.step(number * 10 * SECOND, [api.EndpointUpdate(UpdateKind.FAILED)])
+        actions += run_quiet(checker, number * 10 * SECOND + 20_000, number * 10 * SECOND + 4 * SECOND)
         assert [a for a in actions if isinstance(a, api.Subscribe)]
 
 
