--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -933,17 +933,19 @@
             dest = self.dests[number]
             if dest.held and (reachable := [e for e in dest.usable_endpoints() if self._can_call(dest, e)]):
                 accepting.add(number)
-                rest = self._ranked_messages(dest, reachable, slots_short)
-                ready += [(rank, index, place, message, rest) for rank, place, message in islice(rest, 1)]
+                remaining = self._ranked_messages(dest, reachable, slots_short)
+                ready += [
+                    (rank, index, place, message, remaining) for rank, place, message in islice(remaining, 1)
+                ]
         heapq.heapify(ready)
         opened: dict[str, Call] = {}  # calls of this pass by host, which further messages may share
         while ready and accepting:
-            _, index, _, message, rest = ready[0]
+            _, index, _, message, remaining = ready[0]
             if message.dest not in accepting:
                 heapq.heappop(ready)
                 continue
-            if (following := next(rest, None)) is not None:
-                heapq.heapreplace(ready, (following[0], index, following[1], following[2], rest))
+            if (following := next(remaining, None)) is not None:
+                heapq.heapreplace(ready, (following[0], index, following[1], following[2], remaining))
             else:
                 heapq.heappop(ready)
             dest = self.dests[message.dest]
--- a/decisions/interface.py
+++ b/decisions/interface.py
@@ -166,11 +166,11 @@
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
         if not 0 < self.cold_from <= 1:
-            raise ValueError("cold_from: must lie above 0 and at most at 1")
+            raise ValueError("cold_from: must be above 0 and at most 1")
         if self.fall_multiple <= 0:
             raise ValueError("fall_multiple: must be positive")
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: must hold at least one class")
         for cls in self.classes:
             if not isinstance(cls.effect, Effect):
                 raise ValueError(f"classes.{cls.name}.effect: unknown effect {cls.effect!r}")
