--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -242,8 +242,11 @@
 
     def _describe_limits(self, endpoint: Endpoint) -> str:
         """What limits calls to the endpoint now, as text for the log."""
-        limiters, rate_limiter = endpoint.limiters, endpoint.rate_limiter
-        failure_ratio = endpoint.failures.hit_ratio(self.now_us)
+        limiters, rate_limiter, failure_ratio = (
+            endpoint.limiters,
+            endpoint.rate_limiter,
+            endpoint.failures.hit_ratio(self.now_us),
+        )
         pause_us = (
             max(max(limiter.told_wait_until_us, limiter.pause_until_us) for limiter in limiters) - self.now_us
         )
@@ -400,8 +403,10 @@
         equal part of what is left is taken at once, and the rest grows with time. A small group sees the
         effect of its calls soon, and each of its relays may take all that is left.
         """
-        equal_rate = limiter.advertised_rate / self.settings.group_size
-        max_rate = min(1.0, SHARE_LEFT_FACTOR * share_left) * limiter.advertised_rate
+        equal_rate, max_rate = (
+            limiter.advertised_rate / self.settings.group_size,
+            min(1.0, SHARE_LEFT_FACTOR * share_left) * limiter.advertised_rate,
+        )
         since_us = (
             min(MAX_LIMIT_REPORT_AGE_US, self.now_us - limiter.share_left_at_us)
             if limiter.share_left_at_us >= 0
