--- a/relay/driver.py
+++ b/relay/driver.py
@@ -399,7 +399,7 @@
         former: dict[str, Any] = {"attempts": attempts}
         if risky := [a for a in message.attempts if not a.never_ran]:
             first = min(risky, key=lambda attempt: attempt.started_at_us)
-            former |= {"risky_age_us": max(0, now_us - first.started_at_us), "risky_zone": first.zone}
+            former |= {"uncertain_age_us": max(0, now_us - first.started_at_us), "uncertain_zone": first.zone}
         self._pending_events.append(self._arrival_event(handed, now_us, **former))
 
     def _listed(self, news: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
