--- a/relay/driver.py
+++ b/relay/driver.py
@@ -1,7 +1,8 @@
-"""The relay: feeds ``Relay.step`` with what happens and carries out what it decides.
+"""The relay's step loop: passes events to ``decisions.Relay.step`` and executes the actions that it returns.
 
-It owns which message owes which end. It decides nothing that the module can decide: it refuses at the door
-what it cannot keep, and while it shuts down it starts no call that could not end.
+The driver owns the messages that have no final result yet. It leaves every decision that the decision module
+can make to that module, with two exceptions: it refuses a message that it cannot store, and during a shutdown
+it starts no call that could outlast the process.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from itertools import islice
 from typing import Any
 
-from decisions import Relay as Module
+from decisions import Relay as DecisionModule
 from decisions import interface as api
 from decisions import ranked_queue, state
 from decisions.interface import Settings
@@ -35,21 +36,25 @@
 
 LOG = logging.getLogger(__name__)
 STATUS_LOG_INTERVAL_S = 5.0  # s between log lines on connections
-HELD_BODIES_MEMORY_SHARE = (
-    0.125  # of the memory: bodies of held messages, which the journal keeps a second time
-)
-DELIVERY_TRANSIT_MARGIN_US = 50_000  # us by which a message's time may be up for its client before it is here
-MAX_FINISHED_IDS = (
-    4096  # ids that are over, so that a request that a client repeats is not taken for a new one
-)
+# Share of the process's memory limit that bodies of held messages may take; the journal stores each a second
+# time.
+HELD_BODIES_MEMORY_SHARE = 0.125
+# us: the deadline counts from when the client sent the message, so by the client's count it passes up to this
+# much before the relay's.
+DELIVERY_TRANSIT_MARGIN_US = 50_000
+# Ids of finished messages that are remembered, so that a request that a client repeats is not taken as new.
+MAX_FINISHED_IDS = 4096
 
 
 class Clock:
-    """Wall time that never jumps within one life: deadlines and attempts in the journal go by it."""
+    """Wall-clock time that never jumps during one life; journaled deadlines and attempts use it.
+
+    It is the monotonic clock plus an offset, which is fixed at the start or taken over from another process.
+    """
 
     def __init__(self, offset_us: int | None = None) -> None:
-        usual_us = (time.time_ns() - time.monotonic_ns()) // 1000
-        self.offset_us = usual_us if offset_us is None else offset_us  # given: another's goes on
+        current_us = (time.time_ns() - time.monotonic_ns()) // 1000
+        self.offset_us = current_us if offset_us is None else offset_us
 
     def __call__(self) -> int:
         """Microseconds since the epoch."""
@@ -58,7 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMessage:
-    """A message as a client hands it in; ``deadline_us`` is wall time."""
+    """A message as a client sends it; ``deadline_us`` is wall-clock time in us since the epoch.
+
+    The field names are the keys of a journal record: all versions read them.
+    """
 
     id: str
     dest: int
@@ -70,13 +78,13 @@
 
     @property
     def fields(self) -> dict[str, str | int]:
-        """By name, for the journal; ``asdict`` copies each value deeply and takes ten times as long."""
+        """The fields by name, for the journal; ``asdict`` makes deep copies and takes ten times as long."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 @dataclass(slots=True)
 class HeldMessage:
-    """A message that owes its end, and how many attempts it had."""
+    """A message without a final result, and how many attempts it had."""
 
     message: ClientMessage
     body: bytes
@@ -85,28 +93,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SameLayoutState:
-    """What a process of the same layout takes over beside the journal: nothing of it outlasts both."""
+    """State that only a process of the same layout can take over; it is pickled and not in the journal."""
 
-    clock_offset_us: int  # of the clock
-    module: Module
-    pending_events: list[api.Event]
-    list_version: int  # of the list
-    hosts: CallsHandover
+    clock_offset_us: int
+    module: DecisionModule
+    pending_events: list[api.Event]  # not yet passed to the module
+    list_version: int  # version of the endpoint list, from which the next process watches on
+    calls: CallsHandover
 
 
 @dataclass(frozen=True, slots=True)
 class AnyVersionState:
-    """What a process of any version takes over."""
+    """State that a process of any version can take over, as JSON; the field names are its keys."""
 
-    over: list[str]
-    waits: dict[str, float]
-    ever: list[str]
+    over: list[str]  # ids of finished messages, oldest first
+    waits: dict[str, float]  # by route: monotonic time in s until which an endpoint wants no calls
+    ever: list[str]  # hosts that endpoint lists have named, latest last
 
 
 def layout(settings: Settings) -> str:
-    """A name for what ``Memory`` holds: the same in two processes only if one can go on with the other's.
+    """Identify the layout of ``SameLayoutState``: equal only where one process can use the other's state.
 
-    It is the text of every record in it, and of what the module keeps. Decisions may differ.
+    It is a hash over the source text of every class in that state, including what the decision module stores,
+    over the settings and the Python version. The code that decides is left out and may differ.
     """
     texts = [
         inspect.getsource(part)
@@ -117,12 +126,13 @@
             endpoint_list,
             calls,
             endpoint_calls,
-            Module.__init__,
+            DecisionModule.__init__,
             SameLayoutState,
         )
     ]
     text = "\0".join([*texts, repr(settings), sys.version]).encode()
-    # Against mistakes, not against malice: both are this user's. ``hashlib`` would load all of OpenSSL.
+    # A checksum is enough: both processes belong to the same user, so this guards against mistakes only, and
+    # ``hashlib`` would load all of OpenSSL.
     return f"{len(text)}-{zlib.crc32(text):08x}-{zlib.adler32(text):08x}"
 
 
@@ -131,10 +141,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageCounts:
-    """What is counted from the start of a process."""
+    """Counts since the start of a process."""
 
-    ended: Counter[tuple[str, str]]  # messages by class and how they ended
-    attempts: int  # messages written whole to endpoints
+    ended: Counter[tuple[str, str]]  # finished messages by class and result
+    attempts: int  # messages completely written to endpoints
 
     def __add__(self, other: MessageCounts) -> MessageCounts:
         return MessageCounts(self.ended + other.ended, self.attempts + other.attempts)
@@ -142,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorStats:
-    """What operators read, as it is now."""
+    """The current figures for operators."""
 
     classes: tuple[str, ...]
     counts: MessageCounts
@@ -152,13 +162,15 @@
 
 
 class Driver:
-    """One relay's loop of steps between the sockets and the module."""
+    """One relay's step loop between the sockets and the decision module."""
 
-    def __init__(self, config: Config, journal: Journal, crashed: Callable[[BaseException], None]) -> None:
-        self._settings, self._journal, self._on_crash = config.settings, journal, crashed
+    def __init__(self, config: Config, journal: Journal, on_crash: Callable[[BaseException], None]) -> None:
+        self._settings = config.settings
+        self._journal = journal
+        self._on_crash = on_crash  # called when an error ends the step loop
         self._loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self._module = Module(config.settings, config.seed)
+        self._module = DecisionModule(config.settings, config.seed)
         self._hosts = EndpointCalls(
             config.settings.kinds,
             config.settings.keepalive_us,
@@ -175,104 +187,110 @@
             most_line=line_limit_for_memory(config.memory_bytes),
         )
         self._notices = NoticeSender(config.discovery, self._notice_confirmed)
-        self._held: dict[str, HeldMessage] = {}  # messages that owe their end to the module
-        self._held_body_bytes, self._max_held_body_bytes = (
-            0,
-            int(config.memory_bytes * HELD_BODIES_MEMORY_SHARE),
-        )
+        self._held: dict[str, HeldMessage] = {}  # by id: messages without a final result
+        self._held_body_bytes = 0
+        self._max_held_body_bytes = int(config.memory_bytes * HELD_BODIES_MEMORY_SHARE)
         self._finished_ids: OrderedDict[str, None] = OrderedDict()
-        self._result_counts: Counter[tuple[str, str]] = Counter()  # messages by class and how they ended
-        self.refusal_counts: Counter[RefusalReason] = Counter()  # at the door
+        self._result_counts: Counter[tuple[str, str]] = Counter()  # finished messages by class, result
+        self.refusal_counts: Counter[RefusalReason] = Counter()  # messages that were never accepted
         self._pending_events: list[api.Event] = []
         self._step_timer: asyncio.TimerHandle | None = None
-        self._step_waiters: list[asyncio.Future[None]] = []  # of who waits for the next step's end
-        self._status_timer: asyncio.TimerHandle | None = None  # of the next status line
-        self._next_step_s = 0.0  # when the next step is allowed
-        self._last_step_us = 0  # when the last step was: what it decided counts from then
-        self._shutdown_deadline_s: float | None = (
-            None  # once shutting down: when the last call must have ended
-        )
-        self._postponed_sends: list[api.Send] = []  # calls that were not made for that
+        self._step_waiters: list[asyncio.Future[None]] = []  # set at the end of the next step
+        self._status_timer: asyncio.TimerHandle | None = None  # for the next status log line
+        self._next_step_s = 0.0  # loop time before which no step runs
+        self._last_step_us = 0  # clock time of the last step: times in its actions count from then
+        # Loop time by which the last call must have ended; None unless the relay is shutting down.
+        self._shutdown_deadline_s: float | None = None
+        self._postponed_sends: list[api.Send] = []  # calls not made because of that deadline
         self._class_names = {cls.name for cls in config.settings.classes}
         self._configured_hosts = config.initial_hosts
-        self.module_us = 0  # time in the module's steps
+        self.module_us = 0  # us spent in the decision module's steps
 
     def start(self) -> None:
-        """Take up what the last life left, then follow the list; called before clients are answered."""
+        """Resume the journal's unfinished messages and follow the list; called before clients are served."""
         self._notices.start()
         self._listed(self._configured_hosts, api.EndpointUpdateKind.CACHED)
         self._resume_from_journal()
 
     def _resume_from_journal(self, known: Set[str] = frozenset()) -> None:
-        """The journal's messages and bans, then the first step; the module knows some already."""
+        """Restore the journal's bans and messages, then run the first step.
+
+        ``known`` holds the ids of messages that the decision module has already.
+        """
         for host in self._journal.banned_hosts:
             self._apply_ban(host, True)
         now_us = self.clock()
         for message in self._journal.recovered.values():
             self._resume_message(message, now_us, message.id in known)
         if count := len(self._journal.recovered):
-            LOG.info("journal: %d unfinished messages taken up", count)
+            LOG.info("journal: %d unfinished messages resumed", count)
         self._journal.recovered.clear()
         self._post_event(api.TimerDue())
         self._step()
         self._log_status()
 
     def export_state(self, room: int) -> tuple[AnyVersionState, SameLayoutState, list[int]]:
-        """What the next process takes over, and the descriptors of what is out; for this moment alone."""
-        left, fds = self._hosts.hand_over(room)
-        memory = SameLayoutState(
-            self.clock.offset_us, self._module, self._pending_events, self._watch.version, left
+        """State for the next process, and the descriptors of calls and of at most ``room`` connections.
+
+        It refers to this driver's own objects, so it is valid only until the next event is handled.
+        """
+        calls, fds = self._hosts.hand_over(room)
+        same_layout = SameLayoutState(
+            self.clock.offset_us, self._module, self._pending_events, self._watch.version, calls
         )
         return (
             AnyVersionState(
                 list(self._finished_ids), self._hosts.active_waits, list(self._hosts.remembered_hosts)
             ),
-            memory,
+            same_layout,
             fds,
         )
 
-    def import_any_version_state(self, heard: AnyVersionState) -> None:
-        """Take over from a process of any version, before the start."""
-        self._finished_ids.update(dict.fromkeys(heard.over))
-        self._hosts.restore_waits(heard.waits)
-        self._hosts.remembered_hosts.update(dict.fromkeys(heard.ever))
+    def import_any_version_state(self, imported: AnyVersionState) -> None:
+        """Take over the state of a process of any version; called before the start."""
+        self._finished_ids.update(dict.fromkeys(imported.over))
+        self._hosts.restore_waits(imported.waits)
+        self._hosts.remembered_hosts.update(dict.fromkeys(imported.ever))
 
-    def start_from(self, memory: SameLayoutState, socks: Iterator[socket.socket]) -> None:
-        """Start with what a process of the same layout has left, in place of a fresh module."""
-        self.clock = Clock(memory.clock_offset_us)
-        self._module = memory.module
+    def start_from(self, former: SameLayoutState, sockets: Iterator[socket.socket]) -> None:
+        """Start with the state of a process of the same layout instead of a new decision module."""
+        self.clock = Clock(former.clock_offset_us)
+        self._module = former.module
         self._module.resume()
-        self._pending_events = memory.pending_events
+        self._pending_events = former.pending_events
         self._notices.start()
         known = {event.id for event in self._pending_events if isinstance(event, api.Arrival)}
-        self._hosts.take_over(memory.hosts, socks)
+        self._hosts.take_over(former.calls, sockets)
         self._resume_from_journal(known | self._module.messages.keys())
-        self._watch.resume(memory.list_version)
+        self._watch.resume(former.list_version)
 
     def _log_status(self) -> None:
-        """A line for the people on call: what became of connections to hosts so far."""
+        """Log held messages, calls and what became of connections to endpoints so far."""
         counts = ", ".join(f"{count} {name}" for name, count in sorted(self._hosts.connection_counts.items()))
-        out = len(self._hosts.calls)
-        LOG.info("holds %d messages, %d calls out; connections: %s", len(self._held), out, counts)
+        calls_out = len(self._hosts.calls)
+        LOG.info("holds %d messages, %d calls out; connections: %s", len(self._held), calls_out, counts)
         self._status_timer = self._loop.call_later(STATUS_LOG_INTERVAL_S, self._log_status)
 
-    def shut_down(self, stop_s: float | None) -> None:
-        """From now on only calls are started that end by then, the rest stays in the journal; None: go on."""
-        self._shutdown_deadline_s = stop_s
-        if stop_s is None:  # the module took these for calls out
-            put_off, self._postponed_sends = self._postponed_sends, []
-            for send in put_off:
+    def shut_down(self, deadline_s: float | None) -> None:
+        """Start only calls that end by this loop time; other messages stay in the journal.
+
+        None cancels the shutdown: postponed calls are reported to the module as not sent.
+        """
+        self._shutdown_deadline_s = deadline_s
+        if deadline_s is None:  # the module counts the postponed calls as out
+            postponed, self._postponed_sends = self._postponed_sends, []
+            for send in postponed:
                 if send.id in self._held:
                     call = Call(send.host, [self._build_part(send, self.clock())], time.monotonic())
                     self._attempt_settled(call, call.parts[0], PartOutcome(api.Verdict.NOT_SENT))
 
     def move_discovery(self, discovery: Address) -> None:
-        """Watch the list at this address from now on, and post notices there."""
+        """Watch the endpoint list at a new discovery address, and post notices there."""
         self._watch.move_to(discovery)
         self._notices.move_to(discovery)
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Cancel the timers and close every connection; messages stay in the journal."""
         for timer in (self._step_timer, self._status_timer):
             if timer is not None:
                 timer.cancel()
@@ -281,9 +299,9 @@
         self._hosts.close()
 
     def set_banned(self, host: str, banned: bool) -> bool:
-        """Leave an endpoint out or use it again, also after this life; False where none was ever listed so.
+        """Ban an endpoint or lift its ban, also for later lives; False where no list ever named the host.
 
-        ``JournalFullError`` where it cannot be kept: nothing has changed then.
+        Raises ``JournalFullError`` where the ban cannot be stored; nothing has changed then.
         """
         if not self._hosts.is_known(host) and host not in self._journal.banned_hosts:
             return False
@@ -298,7 +316,7 @@
 
     @property
     def stats(self) -> OperatorStats:
-        """What operators read."""
+        """The current figures for operators."""
         return OperatorStats(
             tuple(cls.name for cls in self._settings.classes),
             MessageCounts(self._result_counts, self._hosts.written_messages),
@@ -309,43 +327,43 @@
 
     @property
     def call_counts(self) -> dict[str, int]:
-        """Calls out by who counts them; they differ for no longer than a step takes to come."""
+        """Calls out as the network side and the decision module count them; equal after the next step."""
         return {"network": len(self._hosts.calls), "module": self._module.calls_out}
 
     @property
     def descriptor_counts(self) -> dict[str, int]:
-        """Open ones by purpose; a connection that is coming up is not counted yet."""
+        """Open descriptors by purpose; a connection that is being established is not counted yet."""
         return {
             "endpoints_idle": self._hosts.idle_count,
             "endpoints_busy": self._hosts.busy_count,
             "discovery": self._watch.open_connections + self._notices.open_connections,
         }
 
-    def count_refusal(self, cls: str, why: RefusalReason) -> None:
-        """Count a message that was turned away at the door."""
+    def count_refusal(self, cls: str, reason: RefusalReason) -> None:
+        """Count a message that was refused before it was accepted."""
         self._result_counts[cls, REFUSED] += 1
-        self.refusal_counts[why] += 1
+        self.refusal_counts[reason] += 1
 
     @property
     def idle(self) -> bool:
-        """Whether no call is out and no notice is unconfirmed."""
+        """Whether no call is out, no notice is unconfirmed and no event waits for a step."""
         return not self._hosts.calls and not self._notices.unconfirmed and not self._pending_events
 
     @property
     def busy_retry_ms(self) -> int:
-        """When a refused client is to come back."""
+        """Milliseconds after which a refused client is to try again."""
         return self._settings.max_retry_after_us // 1000
 
     def knows_class(self, name: str) -> bool:
-        """Whether the settings name the class; the module would drop any other unseen."""
+        """Whether the settings define the class; the decision module silently drops any other."""
         return name in self._class_names
 
-    def accept(self, handed: ClientMessage, body: bytes) -> RefusalReason | None:
-        """Take a message on, journaled; why not where there is no room, and nothing was kept.
+    def accept(self, message: ClientMessage, body: bytes) -> RefusalReason | None:
+        """Journal and accept a message; where there is no room, store nothing and return the reason.
 
-        An id that is known is the same request once more, on a new connection: it is taken on already.
+        A known id is a request that the client repeated on a new connection: it was accepted already.
         """
-        if handed.id in self._held or handed.id in self._finished_ids:
+        if message.id in self._held or message.id in self._finished_ids:
             return None
         if len(self._held) >= self._settings.hold_cap:
             return RefusalReason.HELD_MESSAGES
@@ -353,82 +371,85 @@
             LOG.warning("a message was refused: held bodies come to %d bytes", self._held_body_bytes)
             return RefusalReason.HELD_BODIES
         try:
-            self._journal.accept(handed.id, handed.fields, body)
+            self._journal.accept(message.id, message.fields, body)
         except JournalFullError as error:
             LOG.warning("a message was refused: %s", error)
             return RefusalReason.JOURNAL
-        self._hold(handed, body)
-        self._post_event(self._arrival_event(handed, self.clock()))
+        self._hold(message, body)
+        self._post_event(self._arrival_event(message, self.clock()))
         return None
 
-    def _hold(self, handed: ClientMessage, body: bytes, attempts: int = 0) -> None:
-        self._held[handed.id] = HeldMessage(handed, body, attempts)
+    def _hold(self, message: ClientMessage, body: bytes, attempts: int = 0) -> None:
+        self._held[message.id] = HeldMessage(message, body, attempts)
         self._held_body_bytes += len(body)
 
     def _release(self, ref: str) -> HeldMessage | None:
-        """A message that owes nothing more; None where it owed nothing."""
+        """Remove a message that is finished and return it; None where none of this id is held."""
         if (held := self._held.pop(ref, None)) is not None:
             self._held_body_bytes -= len(held.body)
         return held
 
-    def _arrival_event(self, handed: ClientMessage, now_us: int, **former: Any) -> api.Arrival:
-        left_us = handed.deadline_us - now_us
-        return api.Arrival(handed.id, handed.dest, handed.cls, left_us, handed.tenant, handed.order, **former)
+    def _arrival_event(self, message: ClientMessage, now_us: int, **former: Any) -> api.Arrival:
+        time_left_us = message.deadline_us - now_us
+        return api.Arrival(
+            message.id, message.dest, message.cls, time_left_us, message.tenant, message.order, **former
+        )
 
-    def _resume_message(self, message: RecoveredMessage, now_us: int, known: bool) -> None:
-        """Give a message of the last life back to the module, or send its notice once more.
+    def _resume_message(self, recovered: RecoveredMessage, now_us: int, known: bool) -> None:
+        """Pass a message of the last life to the decision module, or send its notice again.
 
-        An attempt without a proof that it never ran may have run, also one that was out at the end.
+        An attempt without proof that it never ran may have run, also one that was out when that life ended.
+        ``known``: the module has the message already.
         """
-        if message.notice is not None:
-            self._notices.send(Notice(message.id, *message.notice))
+        if recovered.notice is not None:
+            self._notices.send(Notice(recovered.id, *recovered.notice))
             return
         try:
-            handed = ClientMessage(**message.fields)
+            message = ClientMessage(**recovered.fields)
         except TypeError as error:
-            LOG.error("journal: message %s cannot be read: %s", message.id, error)
-            handed = None
-        if handed is None or not self.knows_class(handed.cls):  # another version's or another site's
-            self._journal.record_end(message.id, "dead", 0)
-            self._notices.send(Notice(message.id, "dead"))
+            LOG.error("journal: the fields of message %s do not fit this version: %s", recovered.id, error)
+            message = None
+        if message is None or not self.knows_class(message.cls):  # written by another version or site
+            self._journal.record_end(recovered.id, "dead", 0)
+            self._notices.send(Notice(recovered.id, "dead"))
             return
-        attempts = 1 + max((a.number for a in message.attempts), default=-1)
-        self._hold(handed, message.body, attempts)
+        attempts = 1 + max((a.number for a in recovered.attempts), default=-1)
+        self._hold(message, recovered.body, attempts)
         if known:
             return
         former: dict[str, Any] = {"attempts": attempts}
-        if risky := [a for a in message.attempts if not a.never_ran]:
-            first = min(risky, key=lambda attempt: attempt.started_at_us)
+        if uncertain := [a for a in recovered.attempts if not a.never_ran]:
+            first = min(uncertain, key=lambda attempt: attempt.started_at_us)
             former |= {"uncertain_age_us": max(0, now_us - first.started_at_us), "uncertain_zone": first.zone}
-        self._pending_events.append(self._arrival_event(handed, now_us, **former))
+        self._pending_events.append(self._arrival_event(message, now_us, **former))
 
-    def _listed(self, news: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
-        """News of the list binds calls at once and the module with its next step."""
-        self._hosts.apply_update(news)
-        kind = kind or (api.EndpointUpdateKind.WHOLE if news.whole else api.EndpointUpdateKind.CHANGES)
-        self._post_event(api.EndpointUpdate(kind, tuple(listed.entry for listed in news.endpoints)))
+    def _listed(self, update: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
+        """Apply an update of the endpoint list to calls at once, and to the module with its next step."""
+        self._hosts.apply_update(update)
+        kind = kind or (api.EndpointUpdateKind.WHOLE if update.whole else api.EndpointUpdateKind.CHANGES)
+        self._post_event(api.EndpointUpdate(kind, tuple(listed.entry for listed in update.endpoints)))
 
-    async def _apply_list_in_pieces(self, news: DirectoryUpdate) -> None:
-        """Long news as bounded changes, each one in force before the next, while all else goes on.
+    async def _apply_list_in_pieces(self, update: DirectoryUpdate) -> None:
+        """Apply a long update in pieces of bounded size, one a step, while other work goes on in between.
 
-        What drains or is gone comes first, as it binds. Should it be cut off in between, what is in force is
-        a part of the news, and the version that is watched from is still the old one.
+        Endpoints that drain or are gone come first, because they restrict calls. If it is interrupted, a part
+        of the update is in force, and the version from which the list is watched is still the old one.
         """
-        changes = ordered_changes(news, self._hosts.endpoints)
+        changes = ordered_changes(update, self._hosts.endpoints)
         for number, piece in enumerate(split_changes(changes, ENDPOINTS_PER_PIECE)):
-            self._hosts.apply_update(DirectoryUpdate(news.version, False, piece))
+            self._hosts.apply_update(DirectoryUpdate(update.version, False, piece))
             entries = tuple(listed.entry for listed in piece)
             self._post_event(
                 api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, continued=number > 0)
             )
             await self._wait_for_step()
-        LOG.info("discovery: version %d is in force, %d changes", news.version, len(changes))
+        LOG.info("discovery: version %d is in force, %d changes", update.version, len(changes))
 
     async def _wait_for_step(self) -> None:
-        """Wait until the module has taken what is before it."""
-        stepped = self._loop.create_future()
-        self._step_waiters.append(stepped)
-        await stepped
+        """Wait until the decision module has processed all pending events."""
+        waiter = self._loop.create_future()
+        self._step_waiters.append(waiter)
+        await waiter
 
     def _list_failed(self) -> None:
         self._post_event(api.EndpointUpdate(api.EndpointUpdateKind.FAILED))
@@ -436,45 +457,46 @@
     def _notice_confirmed(self, ref: str) -> None:
         self._journal.record_over(ref)
 
-    def _attempt_settled(self, call: Call, part: Part, told: PartOutcome) -> None:
-        """An attempt is over: journal what it proves, then tell the module."""
-        complete = told.complete
+    def _attempt_settled(self, call: Call, part: Part, outcome: PartOutcome) -> None:
+        """Journal what the outcome of an attempt proves, then report it to the decision module."""
+        complete = outcome.complete
         if complete:
-            self._finish_message(part.id, delivered=told.verdict is api.Verdict.OK)
-        elif told.verdict.never_ran:
+            self._finish_message(part.id, delivered=outcome.verdict is api.Verdict.OK)
+        elif outcome.verdict.never_ran:
             self._journal.record_never_ran(part.id, part.attempt)
         elapsed_us = int((time.monotonic() - call.sent_at_s) * 1e6)
-        if told.verdict is not api.Verdict.OK:
+        if outcome.verdict is not api.Verdict.OK:
             LOG.info(
                 "attempt: %s #%d at %s with %d more, connection %s: %s after %d ms, wait %d ms, told %s",
                 part.id, part.attempt, call.host, len(call.parts) - 1, call.connection_description,
-                told.verdict.value, elapsed_us // 1000, told.wait_us // 1000, told.load_report or "nothing",
+                outcome.verdict.value, elapsed_us // 1000, outcome.wait_us // 1000,
+                outcome.load_report or "nothing",
             )  # fmt: skip
         self._post_event(
             api.Outcome(
                 part.id,
                 part.attempt,
                 call.host,
-                told.verdict,
+                outcome.verdict,
                 elapsed_us,
                 complete,
-                told.wait_us,
-                told.load_report.get("x0"),
-                told.load_report.get("x1"),
-                told.connection_limit_reached,
+                outcome.wait_us,
+                outcome.load_report.get("x0"),
+                outcome.load_report.get("x1"),
+                outcome.connection_limit_reached,
             )
         )
-        if complete:  # also for a part whose own time ran out before: the module must not send it again
+        if complete:  # also where the part's own time ran out earlier: the module must not repeat it
             self._post_event(api.Withdrawn(part.id))
 
     def _finish_message(self, ref: str, delivered: bool) -> None:
-        """Nothing more is owed: it was delivered, or its endpoint says that it is over."""
+        """Finish a message that was delivered, or that its endpoint declares over."""
         if (held := self._held.get(ref)) is None:
             return
         late_us = self.clock() - held.message.deadline_us
         if delivered and late_us > -DELIVERY_TRANSIT_MARGIN_US:
-            # Its time counts from when its client sent it, and a delivery after it ends nothing. Where it did
-            # count, the notice does no harm.
+            # The deadline counts from when the client sent the message, and a later delivery does not count
+            # as the message's end. Where it did count, the notice does no harm.
             LOG.info("attempt: %s was over %d ms after its time", ref, late_us // 1000)
             self._end_with_notice(Notice(ref, "dead"))
             return
@@ -489,13 +511,16 @@
             self._finished_ids.popitem(last=False)
 
     def _post_event(self, event: api.Event) -> None:
-        """Put an event before the module at its next step, one round after the last at the earliest."""
+        """Queue an event for the next step, which runs one round after the last step at the earliest."""
         self._pending_events.append(event)
         if self._step_timer is None:
             self._step_timer = self._loop.call_at(max(self._loop.time(), self._next_step_s), self._step)
 
     def _step(self) -> None:
-        """One batch through the module; an error here is no single message's and ends the process."""
+        """Pass the pending events to the decision module and execute its actions.
+
+        An error here cannot be attributed to a single message, so it ends the process.
+        """
         if self._step_timer is not None:
             self._step_timer.cancel()
         self._step_timer, self._next_step_s = None, self._loop.time() + self._settings.round_us / 1e6
@@ -508,17 +533,18 @@
             self._execute_actions(actions)
             self._wake_step_waiters()
         except Exception as error:
-            LOG.critical("the step loop broke", exc_info=True)
+            LOG.critical("an error in the step loop ends the process", exc_info=True)
             self._on_crash(error)
 
     def _wake_step_waiters(self) -> None:
-        """Let go on who waited for a step."""
-        awaited, self._step_waiters = self._step_waiters, []
-        for stepped in awaited:
-            if not stepped.done():  # else whoever waited was cancelled
-                stepped.set_result(None)
+        """Resume the tasks that wait for the end of a step."""
+        waiters, self._step_waiters = self._step_waiters, []
+        for waiter in waiters:
+            if not waiter.done():  # a cancelled task leaves a future that is done
+                waiter.set_result(None)
 
     def _execute_actions(self, actions: list[api.Action]) -> None:
+        """Execute a step's actions; the sends of a step are grouped by host."""
         sends: dict[str, list[api.Send]] = {}
         for action in actions:
             match action:
@@ -539,63 +565,68 @@
                 case api.Log():
                     LOG.info("%s", action.line)
                 case api.Probe():
-                    LOG.error("a probe was asked for; endpoints are not probed")
+                    LOG.error(
+                        "the decision module asked to probe an endpoint, which the relay does not support"
+                    )
         for host, batch in sends.items():
             self._send_batch(host, batch)
 
     def _end_with_notice(self, notice: Notice) -> None:
-        """The module's final answer goes out at once, and again until it is confirmed."""
+        """Finish a message without a delivery; its notice is posted at once and until it is confirmed."""
         if (held := self._release(notice.ref)) is None:
             return
-        handed = held.message
+        message = held.message
         LOG.info(
             "ended: %s %s of %s for %d: %s with %d ms left, %d attempts",
-            notice.ref, handed.cls, handed.tenant, handed.dest, notice.result,
-            (handed.deadline_us - self.clock()) // 1000, held.attempts,
+            notice.ref, message.cls, message.tenant, message.dest, notice.result,
+            (message.deadline_us - self.clock()) // 1000, held.attempts,
         )  # fmt: skip
-        self._result_counts[handed.cls, REFUSED if notice.result == "bounced" else FAILED] += 1
+        self._result_counts[message.cls, REFUSED if notice.result == "bounced" else FAILED] += 1
         self._journal.record_end(notice.ref, notice.result, notice.wait_ms)
         self._remember_finished(notice.ref)
         self._notices.send(notice)
 
     def _send_batch(self, host: str, batch: list[api.Send]) -> None:
-        """Sends of one step to one host share calls up to the kind's bound, journaled before any byte."""
-        rest = iter(batch)
-        while chunk := list(islice(rest, self._hosts.max_batch(host))):
+        """Group one step's sends to a host into calls of at most the kind's batch size, and start them.
+
+        Attempts are journaled before the first byte is written.
+        """
+        remaining = iter(batch)
+        while chunk := list(islice(remaining, self._hosts.max_batch(host))):
             self._postponed_sends += [send for send in chunk if not self._can_finish_before_shutdown(send)]
             chunk = [
                 send for send in chunk if send.id in self._held and self._can_finish_before_shutdown(send)
             ]
-            parts, tries, now_us = [], [], self.clock()
+            parts, attempts, now_us = [], [], self.clock()
             for send in chunk:
                 parts.append(part := self._build_part(send, now_us))
-                tries.append((send.id, Attempt(part.attempt, host, self._hosts.zone_of(host), now_us)))
+                attempts.append((send.id, Attempt(part.attempt, host, self._hosts.zone_of(host), now_us)))
             if not parts:
                 continue
             call = Call(host, parts, time.monotonic())
             if any(part.attempt for part in parts):
                 LOG.info("attempt: %s at %s begins", call.attempts_text, host)
             try:
-                self._journal.record_attempts(tries)
+                self._journal.record_attempts(attempts)
             except JournalFullError as error:
-                LOG.error("a call was not made: %s", error)
+                LOG.error("a call was not made, its attempts could not be journaled: %s", error)
                 for part in parts:
                     self._attempt_settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
                 continue
             self._hosts.send(call)
 
     def _build_part(self, send: api.Send, now_us: int) -> Part:
-        """The message's next attempt."""
+        """Build the message's next attempt and count it."""
         held = self._held[send.id]
         number, held.attempts = held.attempts, held.attempts + 1
-        left_us = held.message.deadline_us - now_us
-        part = Part(send.id, number, held.message.key, held.body, send.timeout_us, left_us)
+        time_left_us = held.message.deadline_us - now_us
+        part = Part(send.id, number, held.message.key, held.body, send.timeout_us, time_left_us)
         if send.latest_begin_us:
             part.send_by_s = (self._last_step_us - self.clock.offset_us + send.latest_begin_us) / 1e6
         return part
 
     def _can_finish_before_shutdown(self, send: api.Send) -> bool:
-        """Whether the process lasts as long as the call may; else the journal keeps it for the next life."""
+        """Whether the call ends before the process does; if not, the journal keeps it for the next life."""
         return (
             self._shutdown_deadline_s is None
             or self._loop.time() + send.timeout_us / 1e6 <= self._shutdown_deadline_s
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -211,5 +211,5 @@
     monkeypatch.setattr(Module, "step", broken)
     cfg = config.load(world.environment())
     assert await soon(serve(cfg)) == 1
-    assert "the step loop broke" in caplog.text
+    assert "an error in the step loop ends the process" in caplog.text
     assert "RuntimeError: broken" in caplog.text
