--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -88,9 +88,9 @@
             self._handover_path,
             self._layout,
             self.lock,
-            still=self._quiesce,
-            estate=self._export_payload,
-            go_on=self._resume_serving,
+            quiesce=self._quiesce,
+            export_payload=self._export_payload,
+            resume_serving=self._resume_serving,
         )
         if cfg.passed_socket is not None:
             self.offer.start()
--- a/relay/handover.py
+++ b/relay/handover.py
@@ -1,8 +1,9 @@
-"""Replacing the process: who is the relay, and how it passes to the next process whole.
+"""Handover: replaces the relay's process with another one without losing its state.
 
-Whoever holds the lock is the relay. It gives everything away within one callback of its loop, so that
-nothing changes meanwhile, and until its last word, ``YOURS``, it can go on as if nobody had asked. The other
-uses what it got only after that word and with the lock in its hands; without it, it takes up the journal.
+The process that holds the lock file is the relay. On request it sends all its state within one callback of
+its event loop, so that nothing changes meanwhile. Until it has sent the last word, ``YOURS``, it can continue
+as if nothing had been requested. The new process uses what it received only after that word and once it holds
+the lock; otherwise it starts from the journal.
 """
 
 from __future__ import annotations
@@ -23,30 +24,32 @@
 from typing import Any
 
 LOG = logging.getLogger(__name__)
-LOCK_POLL_S = 0.01  # s between looks whether the lock is free or its holder can be asked
-REQUEST_TIMEOUT_S = 1.0  # s in which the one that asks has to say what it can take
-TRANSFER_TIMEOUT_S = 1.0  # s in which the other has to take each piece while this process stands still
-FIRST_ANSWER_TIMEOUT_S = 10.0  # s for the first word of the holder, which may let its calls end before
-EXIT_TIMEOUT_S = 30.0  # s that a process which gave everything away waits for its end
-CHUNK_BYTES, MAX_FDS_PER_MESSAGE = 32 * 1024, 200  # bytes in a message; descriptors in one
-MAX_SOCKET_PATH_BYTES = 107  # bytes of a Unix socket's address
-TAKEN, YOURS = b"taken", b"yours"
-FIRST_NON_STANDARD_FD = 3  # behind the standard streams
-PEER_CREDENTIALS = struct.Struct("3i")
+LOCK_POLL_S = 0.01  # s between attempts to take the lock or to ask its holder
+REQUEST_TIMEOUT_S = 1.0  # s from connecting until the new process must have sent its request
+TRANSFER_TIMEOUT_S = 1.0  # s for each message of the transfer, during which this process does nothing else
+FIRST_ANSWER_TIMEOUT_S = 10.0  # s for the holder's first message; before that it may let its calls end
+EXIT_TIMEOUT_S = 30.0  # s that a process without state waits for the end of its successor's connection
+CHUNK_BYTES = 32 * 1024  # state bytes in one message of the transfer
+MAX_FDS_PER_MESSAGE = 200
+MAX_SOCKET_PATH_BYTES = 107  # longest address of a Unix socket
+TAKEN = b"taken"  # the new process has received everything
+YOURS = b"yours"  # the old process will not act any more
+FIRST_NON_STANDARD_FD = 3  # after stdin, stdout and stderr
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
 @dataclass(slots=True)
 class HandoverPayload:
-    """Everything that one process gives to the next."""
+    """Everything that one process sends to the next."""
 
-    any_version_state: dict[str, Any]  # what any version can read
-    pickled_state: bytes  # what only the same layout can read; empty between others
+    any_version_state: dict[str, Any]  # JSON that any version can read
+    pickled_state: bytes  # readable only by a process of the same layout; empty for any other
     fds: list[int]
 
 
 @dataclass(slots=True)
 class ReceivedHandover:
-    """An estate as it arrived; the giver waits at ``giver`` until that is closed."""
+    """A payload as it was received; the old process exits once ``sender`` is closed."""
 
     any_version_state: dict[str, Any]
     pickled_state: bytes
@@ -55,20 +58,20 @@
 
 
 class RelayLock:
-    """The one thing that makes a process the relay; it goes with the process that holds it."""
+    """The file lock whose holder is the relay; the system releases it when the holding process ends."""
 
     def __init__(self, folder: Path) -> None:
         self._fd = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        # Whether this process is the relay from now on: it holds the lock, or waits for nothing else.
+        # Whether this process is or becomes the relay: it holds the lock, or only waits for its release.
         self.claimed = False
 
     @property
     def fd(self) -> int:
-        """The open file that holds it."""
+        """The descriptor of the lock file."""
         return self._fd
 
     def try_acquire(self) -> bool:
-        """Take it; False while another process holds it."""
+        """Take the lock; False while another process holds it."""
         try:
             fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -77,13 +80,13 @@
         return True
 
     def close(self) -> None:
-        """Let go of it."""
+        """Release the lock."""
         os.close(self._fd)
 
 
 @contextmanager
 def address_of_path(path: Path) -> Iterator[str]:
-    """A name for a socket's path that fits an address, however deep its folder lies."""
+    """Yield a name for a socket's path that fits a Unix socket address, however long the path is."""
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
@@ -95,59 +98,59 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the other side runs as the same user: what it sends is taken for one's own memory."""
+    """Whether the peer runs as the same user; required because its pickled data is loaded."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     return bool(PEER_CREDENTIALS.unpack(raw)[1] == os.getuid())
 
 
-def receive_chunk(sock: socket.socket, most: int = CHUNK_BYTES) -> bytes:
-    """One message; an end in its place raises."""
-    if not (data := sock.recv(most)):
-        raise ConnectionResetError("the other process ended")
+def receive_chunk(sock: socket.socket, max_bytes: int = CHUNK_BYTES) -> bytes:
+    """Receive one message; raises ``ConnectionResetError`` at the end of the connection."""
+    if not (data := sock.recv(max_bytes)):
+        raise ConnectionResetError("the other process closed the connection")
     return data
 
 
-def send_payload(sock: socket.socket, estate: HandoverPayload) -> None:
-    """Give everything away; ``OSError`` where the other did not take it, and nothing has changed then."""
+def send_payload(sock: socket.socket, payload: HandoverPayload) -> None:
+    """Send everything; raises ``OSError`` where the other process did not take it: nothing changed then."""
     sock.settimeout(TRANSFER_TIMEOUT_S)
-    told = json.dumps(estate.any_version_state).encode()
-    sizes = {"told": len(told), "memory": len(estate.pickled_state), "fds": len(estate.fds)}
+    state = json.dumps(payload.any_version_state).encode()
+    sizes = {"told": len(state), "memory": len(payload.pickled_state), "fds": len(payload.fds)}
     sock.send(json.dumps(sizes).encode())
-    data = told + estate.pickled_state
+    data = state + payload.pickled_state
     for at in range(0, len(data), CHUNK_BYTES):
         sock.send(data[at : at + CHUNK_BYTES])
-    for at in range(0, len(estate.fds), MAX_FDS_PER_MESSAGE):
-        socket.send_fds(sock, [b"f"], estate.fds[at : at + MAX_FDS_PER_MESSAGE])
+    for at in range(0, len(payload.fds), MAX_FDS_PER_MESSAGE):
+        socket.send_fds(sock, [b"f"], payload.fds[at : at + MAX_FDS_PER_MESSAGE])
     if receive_chunk(sock) != TAKEN:
-        raise ConnectionResetError("the other process did not take it")
+        raise ConnectionResetError("the other process did not confirm the transfer")
     sock.send(YOURS)
 
 
 def receive_payload(sock: socket.socket, sizes: dict[str, int]) -> ReceivedHandover:
-    """Everything that the other gives, up to its last word; ``OSError`` where it remains the relay."""
+    """Receive everything up to the last word; raises ``OSError`` where the other process stays the relay."""
     sock.settimeout(TRANSFER_TIMEOUT_S)
-    data, socks = bytearray(), list[socket.socket]()
+    data, sockets = bytearray(), list[socket.socket]()
     try:
         while len(data) < sizes["told"] + sizes["memory"]:
             data += receive_chunk(sock)
-        while len(socks) < sizes["fds"]:
+        while len(sockets) < sizes["fds"]:
             word, fds, _, _ = socket.recv_fds(sock, 1, MAX_FDS_PER_MESSAGE)
-            socks += [socket.socket(fileno=fd) for fd in fds]
+            sockets += [socket.socket(fileno=fd) for fd in fds]
             if not word or not fds:
-                raise ConnectionResetError("descriptors are missing")
+                raise ConnectionResetError("the other process sent fewer descriptors than announced")
         sock.send(TAKEN)
         if receive_chunk(sock) != YOURS:
-            raise ConnectionResetError("no last word")
+            raise ConnectionResetError("the other process did not end the transfer with its last word")
     except OSError:
-        for passed in socks:
-            passed.close()
+        for received in sockets:
+            received.close()
         raise
-    told = json.loads(bytes(data[: sizes["told"]]))
-    return ReceivedHandover(told, bytes(data[sizes["told"] :]), socks, sock)
+    state = json.loads(bytes(data[: sizes["told"]]))
+    return ReceivedHandover(state, bytes(data[sizes["told"] :]), sockets, sock)
 
 
 async def request_handover(path: Path, layout: str) -> ReceivedHandover | None:
-    """Ask the holder of the lock for everything; None where nobody gives it."""
+    """Ask the lock's holder for its state; None where there is no holder or it does not send it."""
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
@@ -155,12 +158,12 @@
         with address_of_path(path) as name:
             await loop.sock_connect(sock, name)
         if not is_same_user(sock):
-            raise PermissionError("another user's process")
+            raise PermissionError("the other process runs as another user")
         await loop.sock_sendall(sock, json.dumps({"layout": layout}).encode())
         async with asyncio.timeout(FIRST_ANSWER_TIMEOUT_S):
             first = await loop.sock_recv(sock, CHUNK_BYTES)
         if not first:
-            raise ConnectionResetError("the other process ended")
+            raise ConnectionResetError("the other process closed the connection")
         return receive_payload(sock, json.loads(first))
     except (OSError, TimeoutError, ValueError, KeyError) as error:
         LOG.info("handover: nothing was given: %r", error)
@@ -169,19 +172,24 @@
 
 
 async def become_relay(lock: RelayLock, path: Path, layout: str) -> ReceivedHandover | None:
-    """Become the relay: with what its process gives, or with the journal alone (None) once that is gone."""
+    """Wait until this process is the relay; the state it was sent, or None where only the journal is left."""
     while not lock.try_acquire():
-        if (given := await request_handover(path, layout)) is not None:
+        if (received := await request_handover(path, layout)) is not None:
             lock.claimed = True
-            while not lock.try_acquire():  # the giver lets go of it right behind its last word
+            while not lock.try_acquire():  # the old process releases it right after its last word
                 await asyncio.sleep(0)
-            return given
+            return received
         await asyncio.sleep(LOCK_POLL_S)
     return None
 
 
 class HandoverServer:
-    """The relay's side: whoever asks at the socket and can take the relay over gets it."""
+    """The relay's side: sends its state to a process that requests it at the socket.
+
+    ``quiesce`` stops accepting connections and, for a process of another layout, waits for calls to end;
+    ``export_payload`` returns the state; both are told whether the layout is the same. ``resume_serving``
+    undoes ``quiesce`` after a failed transfer.
+    """
 
     def __init__(
         self,
@@ -189,17 +197,17 @@
         layout: str,
         lock: RelayLock,
         *,
-        still: Callable[[bool], Awaitable[None]],
-        estate: Callable[[bool], HandoverPayload],
-        go_on: Callable[[], Awaitable[None]],
+        quiesce: Callable[[bool], Awaitable[None]],
+        export_payload: Callable[[bool], HandoverPayload],
+        resume_serving: Callable[[], Awaitable[None]],
     ) -> None:
         self._path, self._layout, self._lock = path, layout, lock
-        self._quiesce, self._export_payload, self._resume_serving = still, estate, go_on
+        self._quiesce, self._export_payload, self._resume_serving = quiesce, export_payload, resume_serving
         self._sock: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Listen; what an earlier process left there is dead, for the lock is held."""
+        """Listen; a socket file found there has no owner any more, because this process holds the lock."""
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self._sock.setblocking(False)
         try:
@@ -213,7 +221,7 @@
         self._task = asyncio.create_task(self._run(self._sock))
 
     def close(self) -> None:
-        """Give nothing any more."""
+        """Accept no more requests."""
         if self._task is not None:
             self._task.cancel()
         if self._sock is not None:
@@ -225,37 +233,37 @@
             try:
                 await self._handle_request(sock)
             except Exception:
-                LOG.exception("handover: a process that asked broke off")
+                LOG.exception("handover: a request from another process failed")
             finally:
                 sock.close()
 
     async def _handle_request(self, sock: socket.socket) -> None:
-        """Give everything away and act no more, or go on as before."""
+        """Send all state and end this process, or continue as before."""
         loop = asyncio.get_running_loop()
         if not is_same_user(sock):
             return
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
-            asked = json.loads(await loop.sock_recv(sock, CHUNK_BYTES) or b"{}")
-        if "layout" not in asked:
+            request = json.loads(await loop.sock_recv(sock, CHUNK_BYTES) or b"{}")
+        if "layout" not in request:
             return
-        same = asked["layout"] == self._layout
-        LOG.info("handover: asked for by a process of %s layout", "the same" if same else "another")
-        await self._quiesce(same)
+        same_layout = request["layout"] == self._layout
+        LOG.info("handover: asked for by a process of %s layout", "the same" if same_layout else "another")
+        await self._quiesce(same_layout)
         start_s = loop.time()
         try:
-            # From here to the end nothing else runs in this process.
-            estate = self._export_payload(same)
-            send_payload(sock, estate)
+            # From here on nothing else runs in this process, until the transfer fails or the process ends.
+            payload = self._export_payload(same_layout)
+            send_payload(sock, payload)
         except Exception as error:
             LOG.error("handover: not taken in %.0f ms, serving on: %r", 1e3 * (loop.time() - start_s), error)
             await self._resume_serving()
             return
-        LOG.info("handover: %d sockets given in %.0f ms", len(estate.fds), 1e3 * (loop.time() - start_s))
+        LOG.info("handover: %d sockets given in %.0f ms", len(payload.fds), 1e3 * (loop.time() - start_s))
         close_all_and_exit(sock, self._lock)
 
 
 def close_fds_except(kept: list[int]) -> None:
-    """Close every descriptor but the standard streams and these."""
+    """Close every descriptor except the standard streams and the given ones."""
     first = FIRST_NON_STANDARD_FD
     for descriptor in sorted(kept):
         os.closerange(first, descriptor)
@@ -264,9 +272,10 @@
 
 
 def close_all_and_exit(sock: socket.socket, lock: RelayLock) -> None:
-    """Let go of every descriptor, then of the lock; end once the other process says so, or SIGTERM.
+    """Close every descriptor, then the lock; exit once the other process closes the connection or at SIGTERM.
 
-    With the lock the other process acts: a call that it ends must not be kept open by a copy here.
+    The lock comes last: once the other process has it, it closes calls, and a copy of their sockets here
+    would keep them open.
     """
     signal.set_wakeup_fd(-1)
     for number in (signal.SIGTERM, signal.SIGINT):
