--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -5,8 +5,8 @@
 import sys
 from typing import Any, cast
 
-# Every connection here is plain TCP. asyncio does without TLS where it cannot be loaded, as Python's import
-# system tells by this; loaded, OpenSSL would take a fifth of the memory of a relay that has just started.
+# Every connection of the relay is plain TCP. With this entry the import of ``ssl`` fails, and asyncio works
+# without TLS; OpenSSL would take a fifth of the memory of a relay that has just started.
 sys.modules.update(cast("dict[str, Any]", {"ssl": None}))
 
 import asyncio
@@ -29,58 +29,55 @@
 from relay.resource_usage import CostReporter, RelayCounters
 
 LOG = logging.getLogger("relay")
-SERVE_AFTER_SIGTERM_S = (
-    2.6  # s after SIGTERM in which clients are still served: nobody else has what they would bring
-)
-EXIT_AFTER_SIGTERM_S = (
-    3.2  # s after SIGTERM when the process is gone by itself; SIGKILL comes no sooner than 3.7 s
-)
-EVENT_LOOP_TURNS = (
-    5  # of the loop, in which connections that are accepted come up and what they brought is answered
-)
+# s after SIGTERM in which clients are still served, because no other process would receive their messages.
+SERVE_AFTER_SIGTERM_S = 2.6
+EXIT_AFTER_SIGTERM_S = 3.2  # s after SIGTERM when the process exits; SIGKILL comes no sooner than 3.7 s
+# Iterations of the event loop in which accepted connections are set up and requests on them are answered.
+EVENT_LOOP_TURNS = 5
 SPARE_DESCRIPTORS = 16  # descriptors of a process beside those of clients, calls and idle connections
-COST_LOG_INTERVAL_S = 60.0  # s between log lines on what the process uses
+COST_LOG_INTERVAL_S = 60.0  # s between log lines on the process's resource usage
 STATE_FILE_DESCRIPTORS = 2  # the journal and the lock
-SHUTDOWN_POLL_S = 0.02  # s between looks whether a shutdown is complete
+SHUTDOWN_POLL_S = 0.02  # s between checks whether a shutdown is complete
 
 
 class Service:
-    """One process: it becomes the relay, serves, and leaves to the next process or to the journal."""
+    """One process: it becomes the relay, serves, and leaves its state to the next process or the journal."""
 
     def __init__(self, cfg: config.Config) -> None:
-        # Asked for at the start, as long as the files are this process's own; without a passed socket nobody
-        # will ask, and to read them costs a fifteenth of a start.
-        self._config, self._layout = cfg, layout(cfg.settings) if cfg.passed_socket is not None else ""
+        self._config = cfg
+        # Computed at the start, while the source files are still those that this process has loaded. Without
+        # a passed socket there is no handover, and reading the files would take a fifteenth of a start.
+        self._layout = layout(cfg.settings) if cfg.passed_socket is not None else ""
         self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self.admin = AdminServer()
-        self._cost_timer: asyncio.TimerHandle | None = None  # of the next line on costs
-        # Without a passed socket no other process could accept this one's clients.
+        self._cost_timer: asyncio.TimerHandle | None = None  # for the next cost log line
+        # Only used with a passed socket: without one, no other process could accept this one's clients.
         self._handover_path = cfg.shared_dir / "handover.sock"
         self.lock = RelayLock(cfg.state_dir)
 
     async def start(self) -> None:
-        """Become the relay, with what the process before gives or what the journal holds."""
+        """Become the relay, with the state of the previous process or that of the journal."""
         cfg = self._config
         if cfg.admin is not None:
-            # The relay still answers there for a while where the process before it did.
+            # The running relay still answers there for a while where that was its predecessor's address.
             await self.admin.start(await listen_when_free(cfg.admin, PREDECESSOR_ADDRESS_S + 1))
-        given = await become_relay(self.lock, self._handover_path, self._layout)
+        received = await become_relay(self.lock, self._handover_path, self._layout)
         self.journal = Journal(cfg.state_dir, cfg.disk_bytes)
         self.driver = Driver(cfg, self.journal, self._on_crash)
         self.server = Server(self.driver, cfg.max_sockets // 2, cfg.memory_bytes)
-        if given is None:
+        if received is None:
             self.driver.start()
         else:
-            await self._restore(given)
+            await self._restore(received)
         sock = listen_at(cfg.listen) if cfg.passed_socket is None else duplicate_socket(cfg.passed_socket)
         await self.server.start(sock)
-        release = given.sender.close if given is not None else lambda: None
+        release_sender = received.sender.close if received is not None else lambda: None
         self.ledger = CostReporter(self._resource_counts)
         self.admin.handler = RequestHandler(
-            self.driver, lambda: self.server.serving, release, self.ledger.lines
+            self.driver, lambda: self.server.serving, release_sender, self.ledger.lines
         )
-        if cfg.admin is None:  # nobody will ask
-            release()
+        if cfg.admin is None:  # there is no health check to release it
+            release_sender()
         else:
             self.ledger.start()
             self._schedule_cost_log()
@@ -96,7 +93,7 @@
             self.offer.start()
 
     def _resource_counts(self) -> RelayCounters:
-        """What the parts know of their cost."""
+        """The counters of the relay's parts, for the cost report."""
         counts = self.driver.stats.counts
         return RelayCounters(
             ended_messages=counts.ended.total(),
@@ -110,8 +107,8 @@
                 "files": STATE_FILE_DESCRIPTORS,
             },
             calls=self.driver.call_counts,
-            ended_clients={str(why): count for why, count in self.server.ended_counts.items()},
-            refused_messages={str(why): count for why, count in self.driver.refusal_counts.items()},
+            ended_clients={str(reason): count for reason, count in self.server.ended_counts.items()},
+            refused_messages={str(reason): count for reason, count in self.driver.refusal_counts.items()},
         )
 
     def _schedule_cost_log(self) -> None:
@@ -125,9 +122,12 @@
         if not self.exit_code.done():
             self.exit_code.set_result(1)
 
-    async def _quiesce(self, same: bool) -> None:
-        """Accept nobody, and let come up what is accepted, and end what the other could not go on with."""
-        if not same:
+    async def _quiesce(self, same_layout: bool) -> None:
+        """Stop accepting connections and set up those accepted already.
+
+        A process of another layout cannot continue calls, so they are given time to end first.
+        """
+        if not same_layout:
             loop = asyncio.get_running_loop()
             self.driver.shut_down(loop.time() + SERVE_AFTER_SIGTERM_S)
             await until(loop.time() + SERVE_AFTER_SIGTERM_S, lambda: self.driver.idle, 0.0)
@@ -136,7 +136,7 @@
         await run_ready_callbacks()
 
     async def _resume_serving(self) -> None:
-        """Nothing was taken: serve on."""
+        """Undo ``_quiesce`` after a handover that failed."""
         self.driver.shut_down(None)
         for listener in self._listeners:
             await listener.start()
@@ -146,42 +146,46 @@
         clients = [self.server.listener] if self.server.listener is not None else []
         return clients + self.admin.listeners
 
-    def _export_payload(self, same: bool) -> HandoverPayload:
-        """All that the next process takes over: the admin's socket, the clients' and those of what is out."""
-        clients, fds = self.server.export_clients()
-        heard, memory, out = self.driver.export_state(
-            self._config.max_sockets // 2 - len(fds) - SPARE_DESCRIPTORS
+    def _export_payload(self, same_layout: bool) -> HandoverPayload:
+        """The state for the next process, with the sockets of operators, clients, calls and connections."""
+        clients, client_fds = self.server.export_clients()
+        portable, same_layout_state, call_fds = self.driver.export_state(
+            self._config.max_sockets // 2 - len(client_fds) - SPARE_DESCRIPTORS
         )
-        own = [listener.sock.fileno() for listener in self.admin.listeners[:1]]
+        admin_fds = [listener.sock.fileno() for listener in self.admin.listeners[:1]]
         counts = self.driver.stats.counts
-        told = {
-            "heard": asdict(heard),
+        state = {  # the keys are the same in all versions
+            "heard": asdict(portable),
             "clients": clients,
-            "admin": len(own),
+            "admin": len(admin_fds),
             "ended": [[*name, count] for name, count in counts.ended.items()],
             "attempts": counts.attempts,
         }
-        return HandoverPayload(told, pickle.dumps(memory) if same else b"", own + fds + (out if same else []))
+        return HandoverPayload(
+            state,
+            pickle.dumps(same_layout_state) if same_layout else b"",
+            admin_fds + client_fds + (call_fds if same_layout else []),
+        )
 
-    async def _restore(self, given: ReceivedHandover) -> None:
-        """Go on where the process before left off."""
-        told, socks = given.any_version_state, iter(given.sockets)
-        former = MessageCounts(
-            Counter({(cls, end): count for cls, end, count in told["ended"]}), told["attempts"]
+    async def _restore(self, received: ReceivedHandover) -> None:
+        """Continue with the state of the previous process."""
+        state, sockets = received.any_version_state, iter(received.sockets)
+        previous_counts = MessageCounts(
+            Counter({(cls, result): count for cls, result, count in state["ended"]}), state["attempts"]
         )
-        for sock in islice(socks, told["admin"]):
-            await self.admin.take_over(sock, former)
-        clients = list(islice(socks, len(told["clients"])))
-        self.driver.import_any_version_state(AnyVersionState(**told["heard"]))
-        if given.pickled_state:
-            self.driver.start_from(pickle.loads(given.pickled_state), socks)
+        for sock in islice(sockets, state["admin"]):
+            await self.admin.take_over(sock, previous_counts)
+        clients = list(islice(sockets, len(state["clients"])))
+        self.driver.import_any_version_state(AnyVersionState(**state["heard"]))
+        if received.pickled_state:
+            self.driver.start_from(pickle.loads(received.pickled_state), sockets)
         else:
             self.driver.start()
-        await self.server.restore_clients(told["clients"], clients)
-        LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(given.pickled_state))
+        await self.server.restore_clients(state["clients"], clients)
+        LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(received.pickled_state))
 
     def close(self) -> None:
-        """Let go of everything."""
+        """Close everything; the lock last."""
         self.offer.close()
         self.ledger.close()
         if self._cost_timer is not None:
@@ -194,29 +198,29 @@
 
 
 async def serve(cfg: config.Config) -> int:
-    """Run until SIGTERM or until the step loop breaks; the exit code."""
+    """Run until SIGTERM or until an error ends the step loop; return the exit code."""
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    moved = asyncio.Event()  # while another process is the relay still
+    moved = asyncio.Event()  # a SIGHUP that came before this process was the relay
     loop.add_signal_handler(signal.SIGHUP, moved.set)
     service = Service(cfg)
     start = loop.create_task(service.start())
     ending = loop.create_task(terminated.wait())
     await asyncio.wait({start, ending}, return_when=asyncio.FIRST_COMPLETED)
-    if not start.done() and not service.lock.claimed:  # another process is the relay still
+    if not start.done() and not service.lock.claimed:  # another process is still the relay
         start.cancel()
         return 0
-    await start  # clients that were taken over are served before anything ends
+    await start  # clients that were taken over are served before a shutdown
     loop.add_signal_handler(signal.SIGHUP, reload_discovery, service.driver)
     if moved.is_set():
         reload_discovery(service.driver)
     LOG.info("%s serves at %s:%d", cfg.name, *cfg.listen)
     LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.max_sockets)
     stop = loop.create_task(shut_down(terminated, service))
-    both: set[asyncio.Future[Any]] = {stop, service.exit_code}
-    await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+    endings: set[asyncio.Future[Any]] = {stop, service.exit_code}
+    await asyncio.wait(endings, return_when=asyncio.FIRST_COMPLETED)
     service.close()
     if service.exit_code.done():
         return service.exit_code.result()
@@ -225,7 +229,7 @@
 
 
 def reload_discovery(driver: Driver) -> None:
-    """After SIGHUP: discovery has moved; a file that cannot be used changes nothing."""
+    """Handle SIGHUP: read discovery's address again; an unusable configuration changes nothing."""
     try:
         address = config.read_discovery_address(os.environ)
     except config.ConfigError as error:
@@ -236,15 +240,15 @@
 
 
 async def shut_down(terminated: asyncio.Event, service: Service) -> None:
-    """After SIGTERM: serve on while calls can still end, then part from clients between their requests.
+    """Handle SIGTERM: serve while calls can still end, then close client connections between requests.
 
-    A connection that ends with a request unanswered loses a message. So connections are closed while the
-    server still listens: a request that crosses the close comes again on a new one and gets its answer.
+    A connection closed with a request unanswered loses a message. So connections are closed while the server
+    still listens: a client whose request crossed the close repeats it on a new connection and is answered.
     """
     await terminated.wait()
     LOG.info("SIGTERM: shutting down")
     driver, server = service.driver, service.server
-    service.offer.close()  # what is not given by now goes through the journal
+    service.offer.close()  # without a handover by now, the journal passes messages on
     start_s = asyncio.get_running_loop().time()
     driver.shut_down(start_s + EXIT_AFTER_SIGTERM_S)
     await until(
@@ -261,7 +265,7 @@
 
 
 async def answer_received_requests(server: Server) -> None:
-    """Answer the requests that have arrived by now, also on connections that are not accepted yet."""
+    """Answer all requests that have arrived, including those on connections not accepted yet."""
     await run_ready_callbacks()
     if server.listener is not None:
         server.listener.pause()
@@ -269,20 +273,20 @@
 
 
 async def run_ready_callbacks() -> None:
-    """Let the loop do all that is ready."""
+    """Let the event loop run all callbacks that are ready."""
     for _ in range(EVENT_LOOP_TURNS):
         await asyncio.sleep(0)
 
 
 async def until(last_s: float, done: Callable[[], bool], first_s: float) -> None:
-    """Wait until it is done, between two times."""
+    """Wait until ``done`` is true, at least until ``first_s`` and at most until ``last_s``, in loop time."""
     loop = asyncio.get_running_loop()
     while loop.time() < last_s and not (loop.time() >= first_s and done()):
         await asyncio.sleep(SHUTDOWN_POLL_S)
 
 
 def main() -> int:
-    """Read the configuration and serve; 2 where it cannot be used."""
+    """Read the configuration and serve; return the exit code, 2 for an unusable configuration."""
     logging.basicConfig(
         level=logging.INFO,
         stream=sys.stderr,
