--- a/relay/driver.py
+++ b/relay/driver.py
@@ -181,7 +181,7 @@
         self._watch = Watch(
             config.discovery,
             config.initial_hosts.version,
-            told=self._listed,
+            told=self._apply_list,
             told_in_pieces=self._apply_list_in_pieces,
             failed=self._list_failed,
             most_line=line_limit_for_memory(config.memory_bytes),
@@ -209,7 +209,7 @@
     def start(self) -> None:
         """Resume the journal's unfinished messages and follow the list; called before clients are served."""
         self._notices.start()
-        self._listed(self._configured_hosts, api.EndpointUpdateKind.CACHED)
+        self._apply_list(self._configured_hosts, api.EndpointUpdateKind.CACHED)
         self._resume_from_journal()
 
     def _resume_from_journal(self, known: Set[str] = frozenset()) -> None:
@@ -423,7 +423,7 @@
             former |= {"uncertain_age_us": max(0, now_us - first.started_at_us), "uncertain_zone": first.zone}
         self._pending_events.append(self._arrival_event(message, now_us, **former))
 
-    def _listed(self, update: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
+    def _apply_list(self, update: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
         """Apply an update of the endpoint list to calls at once, and to the module with its next step."""
         self._hosts.apply_update(update)
         kind = kind or (api.EndpointUpdateKind.WHOLE if update.whole else api.EndpointUpdateKind.CHANGES)
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -30,13 +30,13 @@
 
     pieces: asyncio.Task[None] | None = None
 
-    def _listed(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
+    def _apply_list(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
         self.pieces = asyncio.get_running_loop().create_task(self._hand_in(news))
 
     async def _hand_in(self, news: DirectoryUpdate) -> None:
         for first in range(0, len(news.endpoints), PIECE):
             piece = news.endpoints[first : first + PIECE]
-            super()._listed(DirectoryUpdate(news.version, False, piece))
+            super()._apply_list(DirectoryUpdate(news.version, False, piece))
             while self.module.entries_taken < first + len(piece):
                 await asyncio.sleep(LOOK_S)
 
@@ -44,15 +44,15 @@
 class ResendingDriver(CountingDriver):
     """Hands all entries so far to the module with each entry: a planted quadratic."""
 
-    def _listed(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
+    def _apply_list(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
         for end in range(1, len(news.endpoints) + 1):
-            super()._listed(DirectoryUpdate(news.version, False, news.endpoints[:end]))
+            super()._apply_list(DirectoryUpdate(news.version, False, news.endpoints[:end]))
 
 
 class DeafDriver(CountingDriver):
     """Never hands a list in."""
 
-    def _listed(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
+    def _apply_list(self, news: DirectoryUpdate, kind: EndpointUpdateKind | None = None) -> None:
         pass
 
 
