--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -129,7 +129,7 @@
         """
         if not same_layout:
             loop = asyncio.get_running_loop()
-            self.driver.shut_down(loop.time() + SERVE_AFTER_SIGTERM_S)
+            self.driver.set_shutdown_deadline(loop.time() + SERVE_AFTER_SIGTERM_S)
             await until(loop.time() + SERVE_AFTER_SIGTERM_S, lambda: self.driver.idle, 0.0)
         for listener in self._listeners:
             listener.pause()
@@ -137,7 +137,7 @@
 
     async def _resume_serving(self) -> None:
         """Undo ``_quiesce`` after a handover that failed."""
-        self.driver.shut_down(None)
+        self.driver.set_shutdown_deadline(None)
         for listener in self._listeners:
             await listener.start()
 
@@ -250,7 +250,7 @@
     driver, server = service.driver, service.server
     service.offer.close()  # without a handover by now, the journal passes messages on
     start_s = asyncio.get_running_loop().time()
-    driver.shut_down(start_s + EXIT_AFTER_SIGTERM_S)
+    driver.set_shutdown_deadline(start_s + EXIT_AFTER_SIGTERM_S)
     await until(
         start_s + SERVE_AFTER_SIGTERM_S, lambda: not server.connection_count and driver.idle, start_s + 0.5
     )
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -271,7 +271,7 @@
         LOG.info("holds %d messages, %d calls out; connections: %s", len(self._held), calls_out, counts)
         self._status_timer = self._loop.call_later(STATUS_LOG_INTERVAL_S, self._log_status)
 
-    def shut_down(self, deadline_s: float | None) -> None:
+    def set_shutdown_deadline(self, deadline_s: float | None) -> None:
         """Start only calls that end by this loop time; other messages stay in the journal.
 
         None cancels the shutdown: postponed calls are reported to the module as not sent.
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -182,7 +182,7 @@
         await server.start(sock)
         terminated = asyncio.Event()
         terminated.set()
-        driver = SimpleNamespace(shut_down=lambda _stop_s: None, idle=True)
+        driver = SimpleNamespace(set_shutdown_deadline=lambda _deadline_s: None, idle=True)
         offer = SimpleNamespace(close=lambda: None)
         service = SimpleNamespace(driver=driver, server=server, offer=offer)
         await relay_main.shut_down(terminated, cast(relay_main.Service, service))
