--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -81,7 +81,7 @@
         else:
             self.ledger.start()
             self._schedule_cost_log()
-        self.offer = HandoverServer(
+        self.handover_server = HandoverServer(
             self._handover_path,
             self._layout,
             self.lock,
@@ -90,7 +90,7 @@
             resume_serving=self._resume_serving,
         )
         if cfg.passed_socket is not None:
-            self.offer.start()
+            self.handover_server.start()
 
     def _resource_counts(self) -> RelayCounters:
         """The counters of the relay's parts, for the cost report."""
@@ -186,7 +186,7 @@
 
     def close(self) -> None:
         """Close everything; the lock last."""
-        self.offer.close()
+        self.handover_server.close()
         self.ledger.close()
         if self._cost_timer is not None:
             self._cost_timer.cancel()
@@ -248,7 +248,7 @@
     await terminated.wait()
     LOG.info("SIGTERM: shutting down")
     driver, server = service.driver, service.server
-    service.offer.close()  # without a handover by now, the journal passes messages on
+    service.handover_server.close()  # without a handover by now, the journal passes messages on
     start_s = asyncio.get_running_loop().time()
     driver.set_shutdown_deadline(start_s + EXIT_AFTER_SIGTERM_S)
     await until(
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -183,8 +183,8 @@
         terminated = asyncio.Event()
         terminated.set()
         driver = SimpleNamespace(set_shutdown_deadline=lambda _deadline_s: None, idle=True)
-        offer = SimpleNamespace(close=lambda: None)
-        service = SimpleNamespace(driver=driver, server=server, offer=offer)
+        handover_server = SimpleNamespace(close=lambda: None)
+        service = SimpleNamespace(driver=driver, server=server, handover_server=handover_server)
         await relay_main.shut_down(terminated, cast(relay_main.Service, service))
         peer.settimeout(BOUND_S)
         assert peer.recv(64) == b"+PONG\r\n", "the loop has no turn any more"
