--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -72,14 +72,14 @@
         sock = listen_at(cfg.listen) if cfg.passed_socket is None else duplicate_socket(cfg.passed_socket)
         await self.server.start(sock)
         release_sender = received.sender.close if received is not None else lambda: None
-        self.ledger = CostReporter(self._resource_counts)
+        self.cost_reporter = CostReporter(self._resource_counts)
         self.admin.handler = RequestHandler(
-            self.driver, lambda: self.server.serving, release_sender, self.ledger.lines
+            self.driver, lambda: self.server.serving, release_sender, self.cost_reporter.lines
         )
         if cfg.admin is None:  # there is no health check to release it
             release_sender()
         else:
-            self.ledger.start()
+            self.cost_reporter.start()
             self._schedule_cost_log()
         self.handover_server = HandoverServer(
             self._handover_path,
@@ -115,7 +115,7 @@
         self._cost_timer = asyncio.get_running_loop().call_later(COST_LOG_INTERVAL_S, self._log_costs)
 
     def _log_costs(self) -> None:
-        LOG.info("cost: %s", self.ledger.summary())
+        LOG.info("cost: %s", self.cost_reporter.summary())
         self._schedule_cost_log()
 
     def _on_crash(self, _error: BaseException) -> None:
@@ -187,7 +187,7 @@
     def close(self) -> None:
         """Close everything; the lock last."""
         self.handover_server.close()
-        self.ledger.close()
+        self.cost_reporter.close()
         if self._cost_timer is not None:
             self._cost_timer.cancel()
         self.admin.close()
