--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""A process that takes the relay over from another: nobody outside sees two, or none."""
+"""A handover from one relay process to the next: nobody outside sees two relays, or none."""
 
 from __future__ import annotations
 
@@ -17,238 +17,243 @@
 
 
 @pytest.fixture
-def held(world: World) -> World:
-    """A relay whose clients' socket is the platform's, with an operators' address."""
+def replaceable(world: World) -> World:
+    """A relay that listens for clients on a socket passed to it, with an operators' address."""
     world.listen()
     world.admin_port = world.free_port()
     return world
 
 
 async def upgraded(world: World) -> None:
-    """Start another process with a new operators' address, until it says yes and the old one is gone."""
+    """Replace the relay's process: wait until the new one is healthy and the old one has exited.
+
+    The new process gets an operators' address of its own.
+    """
     old, world.admin_port = world.process, world.free_port()
     assert old is not None
     await world.spawn()
 
-    async def yes() -> None:
+    async def healthy() -> None:
         while True:
             with contextlib.suppress(OSError):
                 if (await world.call("GET", "health"))[0] == 200:
                     return
             await asyncio.sleep(0.01)
 
-    await soon(yes())
+    await soon(healthy())
     assert await soon(old.wait()) == 0
 
 
-async def test_a_client_and_half_its_request_go_over(held: World) -> None:
-    """The connection is never closed, so no close can cross a request."""
-    host = await held.add("h1")
-    client = await held.run()
+async def test_a_client_and_half_its_request_are_handed_over(replaceable: World) -> None:
+    """The connection is not closed, so no request can be lost to a close."""
+    host = await replaceable.add("h1")
+    client = await replaceable.run()
     request = packed(*enqueue("m1"))
     client.writer.write(request[:20])
     await client.writer.drain()
-    await upgraded(held)
+    await upgraded(replaceable)
     assert await client.raw(request[20:]) == b"+OK"
     assert await client.hand_in("m2") == b"+OK"
     await host.until(lambda: {ref for call in host.seen for ref in call.ids} == {"m1", "m2"})
 
 
 @pytest.mark.parametrize("cls", ["unsafe", "keyed", "safe"])
-async def test_a_call_that_is_out_is_not_cut(held: World, cls: str) -> None:
-    """Its answer reaches the new process on the same connection, and nothing is sent twice."""
-    host = await held.add("h1", silent)
-    client = await held.run()
-    await held.counted("endpoints_known", 1)  # else no demand is seen there, and its connection is not kept
+async def test_a_call_in_progress_is_not_interrupted(replaceable: World, cls: str) -> None:
+    """Its answer reaches the new process on the same connection, and no message is sent twice."""
+    host = await replaceable.add("h1", silent)
+    client = await replaceable.run()
+    await replaceable.counted("endpoints_known", 1)  # else its connection is not kept for lack of demand
     await client.hand_in("m1", cls)
     call = await host.call(0)
-    await upgraded(held)
+    await upgraded(replaceable)
     host.default = lambda request: request.answer()
     call.answer()
-    await held.counted(f"requests.{cls}.served", 1)
+    await replaceable.counted(f"requests.{cls}.served", 1)
     assert await client.hand_in("m2", cls) == b"+OK"
     assert (await host.call(1)).ids == ["m2"]
     assert host.seen[1].connection == call.connection
-    assert held.directory.notices == []
+    assert replaceable.directory.notices == []
 
 
-async def test_an_answer_is_read_on_where_the_old_process_stopped(held: World) -> None:
-    host = await held.add("h1", silent, kind="banks")
-    client = await held.run()
+async def test_reading_an_answer_continues_where_the_old_process_stopped(replaceable: World) -> None:
+    host = await replaceable.add("h1", silent, kind="banks")
+    client = await replaceable.run()
     client.writer.write(packed(*enqueue("m1", "unsafe")) + packed(*enqueue("m2", "unsafe")))
     call = await host.call(0)
     assert sorted(call.ids) == ["m1", "m2"]
     body = b"m1 delivered\r\nm2 failed\r\n"
     call.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:20])
     await call.writer.drain()
-    await upgraded(held)
+    await upgraded(replaceable)
     call.writer.write(body[20:])
-    assert await held.directory.notice("m2") == {"ref": "m2", "result": "dead"}
-    assert [notice["ref"] for notice in held.directory.notices] == ["m2"]
+    assert await replaceable.directory.notice("m2") == {"ref": "m2", "result": "dead"}
+    assert [notice["ref"] for notice in replaceable.directory.notices] == ["m2"]
 
 
-async def test_what_is_held_waits_and_bans_go_over(held: World) -> None:
-    """The wait is kept to its end, and the ban to its call back, by a process that was told neither."""
-    waits = await held.add("h1", lambda request: request.answer(429, X_Retry_In_Ms="20000"))
-    banned = await held.add("h2", block=2)
-    client = await held.run()
+async def test_held_messages_waits_and_bans_are_handed_over(replaceable: World) -> None:
+    """The new process keeps a wait to its end and a ban until it is lifted, though it was told neither."""
+    waits = await replaceable.add("h1", lambda request: request.answer(429, X_Retry_In_Ms="20000"))
+    banned = await replaceable.add("h2", block=2)
+    client = await replaceable.run()
     await client.hand_in("m1", dest=2)
     await banned.call(0)
-    assert (await held.call("PUT", "cordon?who=h2"))[0] == 200
+    assert (await replaceable.call("PUT", "cordon?who=h2"))[0] == 200
     await client.hand_in("m2")
     await waits.call(0)
     await client.hand_in("m3", dest=2)
-    await held.journaled(b'"not"')
-    await upgraded(held)
-    assert (await held.figures())["in_flight"] == 2
+    await replaceable.journaled(b'"not"')
+    await upgraded(replaceable)
+    assert (await replaceable.figures())["in_flight"] == 2
     await client.hand_in("m4", d=400)
     await client.hand_in("m5", dest=2, d=400)
-    assert (await held.directory.notice("m4"))["result"] == "bounced"
-    assert (await held.directory.notice("m5"))["result"] == "bounced"
+    assert (await replaceable.directory.notice("m4"))["result"] == "bounced"
+    assert (await replaceable.directory.notice("m5"))["result"] == "bounced"
     assert (len(waits.seen), len(banned.seen)) == (1, 1)
-    assert (await held.call("PUT", "uncordon?who=h2"))[0] == 200
+    assert (await replaceable.call("PUT", "uncordon?who=h2"))[0] == 200
     assert (await banned.call(1)).ids == ["m3"]
 
 
-async def test_the_new_process_counts_from_its_start_and_answers_for_the_old_one(held: World) -> None:
-    """At the old address the old counts go on: its figures must not fall while the platform reads there."""
-    host = await held.add("h1")
-    client = await held.run()
+async def test_the_new_process_counts_from_its_start_and_answers_for_the_old_one(replaceable: World) -> None:
+    """At the old operators' address the old counts are continued: figures must not fall while it is read."""
+    host = await replaceable.add("h1")
+    client = await replaceable.run()
     await client.hand_in("m1")
     await host.call(0)
-    await held.journaled(b'"over"')
-    old_port = held.admin_port
-    await upgraded(held)
+    await replaceable.journaled(b'"over"')
+    old_port = replaceable.admin_port
+    await upgraded(replaceable)
     await client.hand_in("m2")
     await host.call(1)
-    await held.counted("requests.safe.served", 1)
-    assert (await held.figures(old_port))["requests.safe.served"] == 2
+    await replaceable.counted("requests.safe.served", 1)
+    assert (await replaceable.figures(old_port))["requests.safe.served"] == 2
 
 
-async def test_upgrades_follow_one_another(held: World) -> None:
-    host = await held.add("h1")
-    client = await held.run()
+async def test_upgrades_follow_one_another(replaceable: World) -> None:
+    host = await replaceable.add("h1")
+    client = await replaceable.run()
     for number in range(3):
-        await upgraded(held)
+        await upgraded(replaceable)
         assert await client.hand_in(f"m{number}") == b"+OK"
         assert (await host.call(number)).ids == [f"m{number}"]
-        assert await (await held.client()).command(b"PING") == b"+PONG"
-
+        assert await (await replaceable.client()).command(b"PING") == b"+PONG"
 
-async def test_an_address_that_is_still_answered_for_the_last_process_is_waited_for(held: World) -> None:
-    """Two addresses in turn: the second process answers at the first one's when the third comes."""
-    client = await held.run()
-    first = held.admin_port
-    await upgraded(held)
-    old, held.admin_port = held.process, first
-    await held.spawn()
 
-    async def gone() -> None:
+async def test_a_process_waits_for_an_operators_address_still_served_for_its_predecessor(
+    replaceable: World,
+) -> None:
+    """Two addresses alternate: the second process still serves the first one's when the third starts."""
+    client = await replaceable.run()
+    first = replaceable.admin_port
+    await upgraded(replaceable)
+    old, replaceable.admin_port = replaceable.process, first
+    await replaceable.spawn()
+
+    async def old_exited() -> None:
         while old is not None and old.returncode is None:
-            with contextlib.suppress(OSError, IndexError):  # its address is closed and opened meanwhile
-                await held.call("GET", "health")
+            with contextlib.suppress(OSError, IndexError):  # the address is closed and opened meanwhile
+                await replaceable.call("GET", "health")
             await asyncio.sleep(0.02)
 
-    await soon(gone())
-    assert (await held.call("GET", "health"))[0] == 200
+    await soon(old_exited())
+    assert (await replaceable.call("GET", "health"))[0] == 200
     assert await client.hand_in("m1") == b"+OK"
 
 
-async def test_a_process_of_another_layout_gets_clients_and_the_journal(held: World) -> None:
-    """The old one lets its calls end first; what it holds goes through the journal."""
-    host = await held.add("h1", silent)
-    client = await held.run()
+async def test_a_process_of_another_layout_takes_over_clients_and_the_journal(replaceable: World) -> None:
+    """The old process lets its calls end first; held messages are passed on by the journal."""
+    host = await replaceable.add("h1", silent)
+    client = await replaceable.run()
     await client.hand_in("m1", "unsafe")
     call = await host.call(0)
     await client.hand_in("m2", dest=2)
-    held.settings["over_share_worth"] = 0.2
-    old, held.admin_port = held.process, held.free_port()
-    await held.spawn()
+    replaceable.settings["over_share_worth"] = 0.2
+    old, replaceable.admin_port = replaceable.process, replaceable.free_port()
+    await replaceable.spawn()
     await asyncio.sleep(1)
     call.answer()
     assert old is not None
-    late = await held.add("h2", block=2)
+    late = await replaceable.add("h2", block=2)
     assert (await late.call(0)).ids == ["m2"]
     host.default = lambda request: request.answer()
     assert await client.hand_in("m3") == b"+OK"
     assert (await host.call(1)).ids == ["m3"]
-    assert held.directory.notices == []
+    assert replaceable.directory.notices == []
 
 
-async def ask(world: World, *words: bytes) -> socket.socket:
-    """Ask as a new process would, and say these words, then nothing."""
+async def request_handover(world: World, *messages: bytes) -> socket.socket:
+    """Connect as a new process would and send these messages, then nothing."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with handover.address_of_path(world.folder / "handover.sock") as name:
         sock.connect(name)
-    for word in words:
-        sock.send(word)
+    for message in messages:
+        sock.send(message)
     return sock
 
 
-@pytest.mark.parametrize("words", [(), (b"nonsense",), (b"{}",), (b'{"layout": "odd"}', b"no")])
-async def test_a_process_that_breaks_off_leaves_the_old_one_serving(
-    held: World, words: tuple[bytes, ...]
+@pytest.mark.parametrize("messages", [(), (b"nonsense",), (b"{}",), (b'{"layout": "odd"}', b"no")])
+async def test_an_aborted_handover_leaves_the_old_process_serving(
+    replaceable: World, messages: tuple[bytes, ...]
 ) -> None:
-    host = await held.add("h1")
-    client = await held.run()
-    sock = await ask(held, *words)
-    if len(words) < 2:
+    host = await replaceable.add("h1")
+    client = await replaceable.run()
+    sock = await request_handover(replaceable, *messages)
+    if len(messages) < 2:
         sock.close()
     assert await client.hand_in("m1") == b"+OK"
     assert (await host.call(0)).ids == ["m1"]
-    assert await (await held.client()).command(b"PING") == b"+PONG"
-    assert (await held.call("GET", "health"))[0] == 200
+    assert await (await replaceable.client()).command(b"PING") == b"+PONG"
+    assert (await replaceable.call("GET", "health"))[0] == 200
     sock.close()
-    await upgraded(held)  # and the next one that asks gets it
+    await upgraded(replaceable)  # the next request succeeds
 
 
-async def test_a_new_process_that_dies_first_leaves_the_old_one_serving(held: World) -> None:
-    client = await held.run()
-    old, old_port = held.process, held.admin_port
-    held.admin_port = held.free_port()
-    new = await held.spawn()
+async def test_a_new_process_that_dies_first_leaves_the_old_one_serving(replaceable: World) -> None:
+    client = await replaceable.run()
+    old, old_port = replaceable.process, replaceable.admin_port
+    replaceable.admin_port = replaceable.free_port()
+    new = await replaceable.spawn()
     new.kill()
     await new.wait()
-    held.process, held.admin_port = old, old_port
+    replaceable.process, replaceable.admin_port = old, old_port
     assert await client.hand_in("m1") == b"+OK"
-    await upgraded(held)
+    await upgraded(replaceable)
     assert await client.hand_in("m2") == b"+OK"
 
 
-async def test_the_lock_falls_to_the_new_process_when_the_old_one_is_killed(held: World) -> None:
-    """Nothing was given: the journal is taken up, and an unsafe call that was out is failed."""
-    host = await held.add("h1", silent)
-    client = await held.run()
+async def test_the_new_process_gets_the_lock_when_the_old_one_is_killed(replaceable: World) -> None:
+    """Without a handover the journal is used, and an unsafe call that was in progress is failed."""
+    host = await replaceable.add("h1", silent)
+    client = await replaceable.run()
     await client.hand_in("m1", "unsafe")
     await host.call(0)
-    old = held.process
+    old = replaceable.process
     assert old is not None
-    old.send_signal(signal.SIGSTOP)  # it cannot give anything
-    held.admin_port = held.free_port()
-    await held.spawn()
+    old.send_signal(signal.SIGSTOP)  # it cannot answer a request
+    replaceable.admin_port = replaceable.free_port()
+    await replaceable.spawn()
     old.kill()
-    assert await held.directory.notice("m1") == {"ref": "m1", "result": "dead"}
-    assert isinstance(await held.client(), Client)
+    assert await replaceable.directory.notice("m1") == {"ref": "m1", "result": "dead"}
+    assert isinstance(await replaceable.client(), Client)
 
 
-async def test_sigterm_ends_a_process_that_waits_for_the_lock(held: World) -> None:
-    await held.run()
-    lock = handover.RelayLock(held.state)
+async def test_sigterm_ends_a_process_that_waits_for_the_lock(replaceable: World) -> None:
+    await replaceable.run()
+    lock = handover.RelayLock(replaceable.state)
     assert not lock.try_acquire()
     lock.close()
-    old = held.process
+    old = replaceable.process
     assert old is not None
     old.send_signal(signal.SIGSTOP)
-    held.admin_port = held.free_port()
-    new = await held.spawn()
-    await soon(starting(held))
+    replaceable.admin_port = replaceable.free_port()
+    new = await replaceable.spawn()
+    await soon(starting(replaceable))
     new.terminate()
     assert await soon(new.wait()) == 0
     old.send_signal(signal.SIGCONT)
 
 
 async def starting(world: World) -> None:
-    """Wait until the operators' address answers: not yes, while another process is the relay."""
+    """Wait until the operators' address answers, with 503 while another process is the relay."""
     while True:
         with contextlib.suppress(OSError):
             assert (await world.call("GET", "health"))[0] == 503
@@ -256,7 +261,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_deep_folder_still_has_an_address(tmp_path: Path) -> None:
+def test_a_socket_in_a_deep_folder_has_an_address(tmp_path: Path) -> None:
     folder = tmp_path / ("d" * 120)
     folder.mkdir()
     with socket.socket(socket.AF_UNIX) as sock, handover.address_of_path(folder / "handover.sock") as name:
@@ -264,69 +269,69 @@
     assert (folder / "handover.sock").is_socket()
 
 
-def test_nothing_is_kept_of_what_was_given_without_the_last_word() -> None:
-    """The giver goes on then; what it gave would be owned twice."""
+def test_descriptors_received_without_the_last_word_are_closed() -> None:
+    """The sender continues then, so its sockets would have two owners."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     given, kept = socket.socketpair()
-    told = json.dumps({"a": 1}).encode()
-    theirs.send(told)
+    state = json.dumps({"a": 1}).encode()
+    theirs.send(state)
     socket.send_fds(theirs, [b"f"], [given.fileno()])
     given.close()
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(ConnectionResetError):
-        handover.receive_payload(ours, {"told": len(told), "memory": 0, "fds": 1})
+        handover.receive_payload(ours, {"told": len(state), "memory": 0, "fds": 1})
     kept.settimeout(5)
-    assert kept.recv(1) == b""  # the descriptor that had come was closed
+    assert kept.recv(1) == b""  # the received descriptor was closed
     for sock in (ours, theirs, kept):
         sock.close()
 
 
-async def test_a_move_of_discovery_told_while_another_process_is_the_relay_is_followed(held: World) -> None:
-    """The platform tells both processes; the one that waits has read the file as it was."""
-    await held.run()
-    old = held.process
+async def test_a_move_of_discovery_while_another_process_is_the_relay_is_followed(replaceable: World) -> None:
+    """The platform signals both processes; the waiting one has read its configuration before the move."""
+    await replaceable.run()
+    old = replaceable.process
     assert old is not None
-    old.send_signal(signal.SIGSTOP)  # it gives nothing yet
-    held.admin_port = held.free_port()
-    new = await held.spawn()
+    old.send_signal(signal.SIGSTOP)  # it does not hand over yet
+    replaceable.admin_port = replaceable.free_port()
+    new = await replaceable.spawn()
     await waits_for_the_lock(new.pid)
-    await held.move()  # SIGHUP to the new one, and the file is another
+    await replaceable.move()  # changes the file and sends SIGHUP to the new process
     old.send_signal(signal.SIGHUP)
     old.send_signal(signal.SIGCONT)
-    while (await held.call("GET", "health"))[0] != 200:
+    while (await replaceable.call("GET", "health"))[0] != 200:
         await asyncio.sleep(0.02)
     await soon(old.wait())
-    late = await held.add("late", block=2)
-    client = await held.client()
+    late = await replaceable.add("late", block=2)
+    client = await replaceable.client()
     assert await client.hand_in("m1", dest=2) == b"+OK"
     assert (await late.call(0)).ids == ["m1"]
 
 
 async def waits_for_the_lock(pid: int) -> None:
-    """Wait until a process has its handlers and looks for the lock: it has opened the file."""
+    """Wait until a process has opened the lock file; its signal handlers are installed by then."""
 
-    async def looks() -> None:
+    async def opened() -> None:
         while not any(
             os.path.realpath(f"/proc/{pid}/fd/{fd}").endswith("/lock") for fd in os.listdir(f"/proc/{pid}/fd")
         ):
             await asyncio.sleep(0.01)
 
-    await soon(looks())
+    await soon(opened())
 
 
 @pytest.mark.parametrize("cls", ["safe", "keyed"])
 async def test_a_call_that_the_new_process_calls_off_at_once_is_closed_before_its_repeat(
-    held: World, cls: str
+    replaceable: World, cls: str
 ) -> None:
-    """Four calls hang alone and take half of the slots; the first step after the hand-over ends them."""
-    host = await held.add("h1", silent)
-    client = await held.run()
-    await held.counted("endpoints_known", 1)
+    """Four calls hang and take half of the slots; the first step after the handover cancels them."""
+    host = await replaceable.add("h1", silent)
+    client = await replaceable.run()
+    await replaceable.counted("endpoints_known", 1)
     await client.hand_in("m0", cls)
     first = await host.call(0)
-    await asyncio.sleep(0.3)  # calls count as overdue after five times that
+    await asyncio.sleep(0.3)  # a call is overdue after five times this
     first.answer()
-    await held.counted(f"requests.{cls}.served", 1)
+    await replaceable.counted(f"requests.{cls}.served", 1)
     refs = ["m1", "m2", "m3", "m4"]
     for ref in refs:
         await client.hand_in(ref, cls)
@@ -334,10 +339,12 @@
     hung_s = asyncio.get_running_loop().time()
     host.script.append(lambda request: request.answer())
     await client.hand_in("m5", cls)
-    await held.counted(f"requests.{cls}.served", 2)
-    held.admin_port = held.free_port()
-    with socket.create_server((held.address, held.admin_port)):  # which the new process waits for
-        await held.spawn()
+    await replaceable.counted(f"requests.{cls}.served", 2)
+    replaceable.admin_port = replaceable.free_port()
+    with socket.create_server(
+        (replaceable.address, replaceable.admin_port)
+    ):  # the new process waits for this address
+        await replaceable.spawn()
         await asyncio.sleep(max(0.0, hung_s + 3.1 - asyncio.get_running_loop().time()))
     hung = {ref: request for request in host.seen for ref in request.ids if ref in refs}
     host.default = delivered
@@ -349,16 +356,16 @@
     async with asyncio.timeout(1):
         while any(request.writer in host.writers for request in hung.values()):
             await asyncio.sleep(0.01)
-    await held.cost_is("calls.module", 0)
-    assert (await held.costs())["calls.network"] == 0
+    await replaceable.cost_is("calls.module", 0)
+    assert (await replaceable.costs())["calls.network"] == 0
 
 
 def test_the_lock_is_let_go_of_last(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever has the lock acts: calls that it ends would stay open by the copies of the process before."""
+    """The lock's holder closes calls, which descriptors left open in the old process would keep open."""
     lock = handover.RelayLock(tmp_path)
     assert lock.try_acquire()
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    theirs.close()  # the other process has said that it has all
+    theirs.close()  # the other process has confirmed everything
     closed = set[int]()
     closed_before_lock = list[set[int]]()
 
@@ -383,27 +390,27 @@
     ours.close()
 
 
-async def test_a_process_told_to_end_while_it_takes_over_serves_the_clients_it_was_given(
-    held: World,
+async def test_sigterm_during_a_handover_leaves_the_received_clients_served(
+    replaceable: World,
 ) -> None:
-    """Cut short there, it would close connections over requests that nobody has read."""
+    """Ended at once, it would close connections with unread requests."""
     loop = asyncio.get_running_loop()
-    held.state.mkdir(exist_ok=True)
-    lock = handover.RelayLock(held.state)
+    replaceable.state.mkdir(exist_ok=True)
+    lock = handover.RelayLock(replaceable.state)
     assert lock.try_acquire()
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listening:
-        with handover.address_of_path(held.folder / "handover.sock") as name:
+        with handover.address_of_path(replaceable.folder / "handover.sock") as name:
             listening.bind(name)
         listening.listen()
         listening.setblocking(False)
-        new = await held.spawn()
+        new = await replaceable.spawn()
         asking, _ = await soon(loop.sock_accept(listening))
     await soon(loop.sock_recv(asking, 4096))
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         served, _ = server.accept()
     client.setblocking(False)
-    told = {
+    state = {
         "heard": {"over": [], "waits": {}, "ever": []},
         "clients": [{"data": "", "by_s": loop.time() + 20, "ending": False}],
         "admin": 0,
@@ -411,11 +418,11 @@
         "attempts": 0,
     }
     await loop.run_in_executor(
-        None, handover.send_payload, asking, handover.HandoverPayload(told, b"", [served.fileno()])
+        None, handover.send_payload, asking, handover.HandoverPayload(state, b"", [served.fileno()])
     )
     served.close()
     new.terminate()
-    await asyncio.sleep(0.2)  # it has everything but the lock
+    await asyncio.sleep(0.2)  # by now it has everything but the lock
     client.send(packed(*enqueue("m1")))
     lock.close()
     assert await soon(loop.sock_recv(client, 64)) == b"+OK\r\n"
