--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on real files: torn and damaged logs, compaction and the budget."""
+"""The journal on real files: incomplete and damaged logs, compaction and the disk budget."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     round_up_to_blocks,
 )
 
-DISK = 3_000_000
+DISK_BYTES = 3_000_000
 
 
-def reopened(folder: Path, disk: int = DISK) -> Journal:
-    """The next life's journal."""
-    return Journal(folder, disk)
+def reopened(folder: Path, disk_bytes: int = DISK_BYTES) -> Journal:
+    """The journal as the next life opens it."""
+    return Journal(folder, disk_bytes)
 
 
 def accept(journal: Journal, *refs: str, size: int = 10) -> None:
-    """Take messages on."""
+    """Accept messages; ``size`` is how often the id is repeated in the body."""
     for ref in refs:
         journal.accept(ref, {"id": ref, "dest": 1}, ref.encode() * size)
 
 
-def test_every_record_comes_back(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK)
+def test_every_record_is_read_back(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES)
     accept(journal, "a", "b", "c", "d")
     journal.record_attempts([("a", Attempt(0, "h1", "z", 5)), ("b", Attempt(0, "h2", "y", 6))])
     journal.record_never_ran("a", 0)
@@ -53,8 +53,8 @@
 
 
 def test_a_tail_torn_anywhere_is_cut_off_before_appending(tmp_path: Path) -> None:
-    """SIGKILL may fall within a write; what is appended behind half a record would be lost."""
-    journal = Journal(tmp_path, DISK)
+    """SIGKILL may interrupt a write; a record appended behind half a record would be lost."""
+    journal = Journal(tmp_path, DISK_BYTES)
     accept(journal, "a")
     whole = (tmp_path / "journal").stat().st_size
     accept(journal, "b")
@@ -66,10 +66,10 @@
 
 
 @pytest.mark.parametrize("at", [0, 5, 9, 20])
-def test_a_damaged_record_is_left_out_and_the_rest_kept(
+def test_a_damaged_record_is_skipped_and_the_rest_kept(
     tmp_path: Path, at: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    journal = Journal(tmp_path, DISK)
+    journal = Journal(tmp_path, DISK_BYTES)
     accept(journal, "a")
     start = (tmp_path / "journal").stat().st_size
     accept(journal, "b", "c")
@@ -80,8 +80,8 @@
     assert "damaged" in caplog.text
 
 
-def test_compaction_keeps_what_is_open_and_bounds_the_log(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK)
+def test_compaction_keeps_unfinished_messages_and_bounds_the_log(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES)
     accept(journal, "kept")
     journal.record_attempts([("kept", Attempt(0, "h", "z", 1))])
     for number in range(3000):
@@ -94,7 +94,7 @@
 
 
 def test_bans_outlast_compaction_until_they_are_lifted(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK)
+    journal = Journal(tmp_path, DISK_BYTES)
     for host in ("h1", "h2", "h1"):
         journal.set_banned(host, True)
     for number in range(2 * MIN_COMPACTION_GARBAGE_BYTES // 400):
@@ -107,43 +107,43 @@
 
 
 def test_a_compaction_that_did_not_end_is_cleared_away(tmp_path: Path) -> None:
-    accept(Journal(tmp_path, DISK), "a")
+    accept(Journal(tmp_path, DISK_BYTES), "a")
     (tmp_path / "journal.new").write_bytes(b"half")
     assert list(reopened(tmp_path).recovered) == ["a"]
     assert not (tmp_path / "journal.new").exists()
 
 
-def test_a_full_budget_refuses_and_keeps_room_for_what_is_open(tmp_path: Path) -> None:
-    disk = 200_000
-    journal, refs = Journal(tmp_path, disk), []
+def test_a_full_budget_refuses_messages_and_keeps_room_for_unfinished_ones(tmp_path: Path) -> None:
+    disk_bytes = 200_000
+    journal, refs = Journal(tmp_path, disk_bytes), []
     with pytest.raises(JournalFullError):
         for number in range(1000):
             accept(journal, f"m{number}", size=500)
             refs.append(f"m{number}")
     assert refs
-    for ref in refs:  # everything that can still be said of them fits
+    for ref in refs:  # all their later records fit
         for number in range(6):
             journal.record_attempts([(ref, Attempt(number, "s-0123456789", "floor-2", 1 << 50))])
             journal.record_never_ran(ref, number)
         journal.record_end(ref, "bounced", 2000)
-        assert sum(round_up_to_blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk
-    assert {r.notice for r in reopened(tmp_path, disk).recovered.values()} == {("bounced", 2000)}
+        assert sum(round_up_to_blocks(path.stat().st_size) for path in tmp_path.iterdir()) <= disk_bytes
+    assert {r.notice for r in reopened(tmp_path, disk_bytes).recovered.values()} == {("bounced", 2000)}
     for ref in refs:
         journal.record_over(ref)
     accept(journal, "again")
 
 
 def test_a_thousand_open_messages_fit_the_usual_disk(tmp_path: Path) -> None:
-    """Refused for want of room, they would come again and again while the relay had slots to spare."""
-    journal = Journal(tmp_path, DISK)
+    """If they were refused, clients would repeat them while the relay had free slots."""
+    journal = Journal(tmp_path, DISK_BYTES)
     for number in range(1000):
         accept(journal, f"{number:016x}", size=40)  # bodies of 640 bytes
     assert len(reopened(tmp_path).recovered) == 1000
 
 
-def test_compaction_keeps_the_first_risky_attempt_and_the_latest(tmp_path: Path) -> None:
-    """The window and the bound on attempts count from these, in the next life too."""
-    journal = Journal(tmp_path, DISK)
+def test_compaction_keeps_the_first_uncertain_attempt_and_the_latest(tmp_path: Path) -> None:
+    """The window of a key and the limit on attempts count from these, also in the next life."""
+    journal = Journal(tmp_path, DISK_BYTES)
     accept(journal, "kept")
     for number in range(7):
         journal.record_attempts([("kept", Attempt(number, f"h{number}", "z", 10 + number))])
@@ -158,12 +158,12 @@
     ]
 
 
-def test_a_disk_that_takes_nothing_refuses(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, DISK)
+def test_a_disk_that_fails_every_write_refuses_messages(tmp_path: Path) -> None:
+    journal = Journal(tmp_path, DISK_BYTES)
     journal.close()  # writes fail from here on
     with pytest.raises(JournalFullError):
         accept(journal, "a")
-    journal.record_over("a")  # told, not raised: it must not stop the relay
+    journal.record_over("a")  # logged, not raised: it must not stop the relay
 
 
 STEPS = st.lists(
@@ -182,79 +182,79 @@
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, int]], bodies: list[bytes], cut: int
 ) -> None:
     folder = tmp_path_factory.mktemp("journal")
-    journal, path = Journal(folder, DISK), folder / "journal"
+    journal, path = Journal(folder, DISK_BYTES), folder / "journal"
     states: list[tuple[int, dict[str, tuple[bytes, int, object]]]] = [(0, {})]
-    now: dict[str, tuple[bytes, int, object]] = {}
-    for word, number in steps:
+    current: dict[str, tuple[bytes, int, object]] = {}
+    for kind, number in steps:
         ref, body = f"m{number}", bodies[number]
-        if (word == "in") == (ref in now):
+        if (kind == "in") == (ref in current):
             continue
-        if word == "in":
+        if kind == "in":
             journal.accept(ref, {}, body)
-            now[ref] = (body, 0, None)
-        elif word == "over":
+            current[ref] = (body, 0, None)
+        elif kind == "over":
             journal.record_over(ref)
-            del now[ref]
+            del current[ref]
         else:
-            _, tries, notice = now[ref]
-            if word == "try":
-                journal.record_attempts([(ref, Attempt(tries, "h", "z", 1))])
-                now[ref] = (body, tries + 1, notice)
-            elif word == "end":
+            _, attempts, notice = current[ref]
+            if kind == "try":
+                journal.record_attempts([(ref, Attempt(attempts, "h", "z", 1))])
+                current[ref] = (body, attempts + 1, notice)
+            elif kind == "end":
                 journal.record_end(ref, "dead", 0)
-                now[ref] = (body, tries, ("dead", 0))
+                current[ref] = (body, attempts, ("dead", 0))
             else:
                 journal.record_never_ran(ref, 0)
-        states.append((path.stat().st_size, dict(now)))
+        states.append((path.stat().st_size, dict(current)))
     journal.close()
     end = max(0, path.stat().st_size - cut)
     path.write_bytes(path.read_bytes()[:end])
-    want = [state for size, state in states if size <= end][-1]
+    expected = [state for size, state in states if size <= end][-1]
     found = reopened(folder).recovered
-    assert {ref: (m.body, len(m.attempts), m.notice) for ref, m in found.items()} == want
+    assert {ref: (m.body, len(m.attempts), m.notice) for ref, m in found.items()} == expected
 
 
 def test_a_message_is_journaled_field_by_field() -> None:
-    """The cheap form tells what the deep copy did."""
-    handed = ClientMessage("m1", 3, "keyed", 123, "t", "", "k")
-    assert handed.fields == asdict(handed)
-    assert ClientMessage(**json.loads(json.dumps(handed.fields))) == handed
+    """``fields`` returns what ``asdict`` would, without its deep copies."""
+    message = ClientMessage("m1", 3, "keyed", 123, "t", "", "k")
+    assert message.fields == asdict(message)
+    assert ClientMessage(**json.loads(json.dumps(message.fields))) == message
 
 
-def test_a_compaction_that_finds_no_descriptor_is_made_later(
+def test_a_compaction_without_a_free_descriptor_is_repeated_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old log goes on; nothing that was taken on is lost, and the next compaction does its work."""
-    journal, opened, tried = Journal(tmp_path, DISK), os.open, list[str]()
+    """The old log stays in use, no accepted message is lost, and the next compaction succeeds."""
+    journal, real_open, opened = Journal(tmp_path, DISK_BYTES), os.open, list[str]()
 
-    def short(path: Path, *args: int) -> int:
-        tried.append(str(path))
+    def open_fails(path: Path, *args: int) -> int:
+        opened.append(str(path))
         raise OSError(errno.EMFILE, "none left")
 
-    monkeypatch.setattr(os, "open", short)
+    monkeypatch.setattr(os, "open", open_fails)
     accept(journal, "kept")
     for number in range(200):
         accept(journal, f"m{number}", size=500)
         journal.record_over(f"m{number}")
-    assert any(name.endswith("journal.new") for name in tried)
-    grown = (tmp_path / "journal").stat().st_size
-    monkeypatch.setattr(os, "open", opened)
+    assert any(name.endswith("journal.new") for name in opened)
+    grown_bytes = (tmp_path / "journal").stat().st_size
+    monkeypatch.setattr(os, "open", real_open)
     accept(journal, "last", size=500)
-    assert (tmp_path / "journal").stat().st_size < grown
+    assert (tmp_path / "journal").stat().st_size < grown_bytes
     journal.close()
     assert set(reopened(tmp_path).recovered) == {"kept", "last"}
 
 
 def test_a_replay_that_is_cut_off_is_made_again(tmp_path: Path) -> None:
-    """A second kill while the log is read: it holds the same for the next life, torn tail or not."""
-    journal = Journal(tmp_path, DISK)
+    """A second kill during the replay: the next life reads the same, also from an incomplete tail."""
+    journal = Journal(tmp_path, DISK_BYTES)
     for name in ("a", "b"):
         journal.accept(name, {"id": name}, b"x")
     journal.record_attempts([("a", Attempt(0, "h1", "z", 5))])
     journal.close()
     with (tmp_path / "journal").open("ab") as log:
         log.write(RECORD_MARK + b"half a record")
-    lives = [Journal(tmp_path, DISK) for _ in range(3)]  # none of them ends in order
+    lives = [Journal(tmp_path, DISK_BYTES) for _ in range(3)]  # none of them is closed before the next
     assert all(life.recovered == lives[0].recovered for life in lives)
     assert [len(message.attempts) for message in lives[0].recovered.values()] == [1, 0]
     for life in lives:
