--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What outlasts the process: SIGKILL and SIGTERM with work in each state, on the real process."""
+"""What survives the end of a process: SIGKILL and SIGTERM with messages in each state, in a real process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from decisions.engine import Relay as Module
+from decisions.engine import Relay as DecisionModule
 from relay import config
 from relay.__main__ import serve
 from relay.journal import Journal
@@ -26,8 +26,8 @@
 
 
 @pytest.mark.parametrize("cls", ["keyed", "safe"])
-async def test_a_call_out_at_the_end_is_repeated_where_that_is_allowed(world: World, cls: str) -> None:
-    """A keyed one goes only to the zone of its first try, whatever else would be cheaper."""
+async def test_a_call_cut_off_by_a_kill_is_repeated_where_that_is_allowed(world: World, cls: str) -> None:
+    """A keyed message goes only to the zone of its first attempt, even where another one costs less."""
     first = await world.add("h1", silent, site="b")
     client = await world.run()
     await client.hand_in("m1", cls)
@@ -43,7 +43,7 @@
         assert (await other.call(0)).ids == ["m1"]
 
 
-async def test_an_unsafe_call_out_at_the_end_is_failed(world: World) -> None:
+async def test_an_unsafe_call_cut_off_by_a_kill_is_failed(world: World) -> None:
     host = await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -53,7 +53,7 @@
     assert len(host.seen) == 1
 
 
-async def test_an_attempt_that_never_ran_leaves_the_next_life_free(world: World) -> None:
+async def test_an_attempt_that_never_ran_may_be_repeated_by_the_next_life(world: World) -> None:
     host = await world.add("h1", lambda request: request.answer(429, X_Retry_In_Ms="20000"))
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -65,7 +65,7 @@
     assert (await host.call(1)).ids == ["m1"]
 
 
-async def test_what_is_over_is_never_sent_again(world: World) -> None:
+async def test_a_finished_message_is_never_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1")
@@ -90,7 +90,7 @@
     assert (await world.directory.notice("m1"))["result"] == "bounced"
 
 
-async def test_a_message_past_its_time_gets_its_notice_after_the_restart(world: World) -> None:
+async def test_a_message_whose_deadline_passed_gets_its_notice_after_the_restart(world: World) -> None:
     client = await world.run()
     await client.hand_in("m1", d=1500)
     await world.kill()
@@ -100,7 +100,7 @@
     assert (await world.directory.notice("m1"))["result"] == "bounced"
 
 
-async def test_known_serves_until_discovery_answers(world: World) -> None:
+async def test_the_configured_hosts_serve_until_discovery_answers(world: World) -> None:
     host = await world.add("h1")
     world.known = list(world.directory.hosts.values())
     world.directory.down = True
@@ -109,7 +109,7 @@
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_a_torn_tail_loses_nothing_before_or_behind_it(world: World) -> None:
+async def test_an_incomplete_record_loses_nothing_before_or_behind_it(world: World) -> None:
     client = await world.run()
     await client.hand_in("m1")
     await world.kill()
@@ -133,9 +133,9 @@
     world.process.terminate()
     call.answer()
     assert await client.command(b"PING") == b"+PONG"
-    assert await client.hand_in("m3", dest=2) == b"+OK"  # taken on, for this life or the next
+    assert await client.hand_in("m3", dest=2) == b"+OK"  # accepted, for this life or the next
     assert await (await world.client()).hand_in("m4", dest=2) == b"+OK"
-    assert await soon(client.reader.read()) == b""  # ended between two requests, by the relay
+    assert await soon(client.reader.read()) == b""  # closed by the relay between two requests
     assert await soon(world.process.wait()) == 0
     late = await world.add("h2", block=2)
     await world.run()
@@ -144,8 +144,8 @@
     assert world.directory.notices == []
 
 
-async def test_a_recovered_message_that_the_settings_no_longer_name_gets_its_end(world: World) -> None:
-    """The module would drop an unknown class unseen, and the message would be lost."""
+async def test_a_recovered_message_of_an_unknown_class_is_failed(world: World) -> None:
+    """The decision module silently drops an unknown class, so the message would be lost."""
     client = await world.run()
     await client.hand_in("m1", "unsafe")
     await world.kill()
@@ -159,19 +159,19 @@
 
 
 async def test_sighup_moves_the_watch_and_the_notices(world: World) -> None:
-    """A moved discovery is followed at once; the variable of its own still holds the old address."""
+    """The new address is used at once, though the environment variable still holds the old one."""
     client = await world.run()
     await client.hand_in("m1", d=30)
     await world.directory.notice("m1")
     await world.move()
-    host = await world.add("h1")  # told at the new address alone
+    host = await world.add("h1")  # listed only at the new address
     await client.hand_in("m2")
     assert (await host.call(0)).ids == ["m2"]
     await client.hand_in("m3", dest=2, d=30)
     assert (await world.directory.notice("m3"))["result"] == "bounced"
 
 
-async def test_sighup_with_a_file_that_cannot_be_used_changes_nothing(world: World) -> None:
+async def test_sighup_with_an_unusable_configuration_file_changes_nothing(world: World) -> None:
     client = await world.run()
     await world.directory.call(0)
     (world.folder / "config.json").write_text("{", encoding="utf-8")
@@ -183,8 +183,10 @@
 
 
 @pytest.mark.parametrize("missing", ["settings", "listen", "known"])
-async def test_a_configuration_that_cannot_be_used_is_told(world: World, missing: str) -> None:
-    """Without settings or an address the relay ends with 2; without a known list it serves."""
+async def test_a_missing_key_of_the_configuration_ends_the_start_unless_optional(
+    world: World, missing: str
+) -> None:
+    """Without settings or an address the relay exits with 2; without configured hosts it serves."""
     environment = world.environment()
     path = world.folder / "config.json"
     config = json.loads(path.read_text(encoding="utf-8"))
@@ -200,15 +202,15 @@
         assert await soon(world.process.wait()) == 2
 
 
-async def test_an_error_in_the_step_loop_is_loud_and_ends_the_process(
+async def test_an_error_in_the_step_loop_is_logged_and_ends_the_process(
     world: World, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It is no single message's: going on would leave the module in a state that nobody knows."""
+    """The error cannot be attributed to one message, and the decision module's state is unknown after it."""
 
     def broken(*_args: object) -> None:
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(Module, "step", broken)
+    monkeypatch.setattr(DecisionModule, "step", broken)
     cfg = config.load(world.environment())
     assert await soon(serve(cfg)) == 1
     assert "an error in the step loop ends the process" in caplog.text
