--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start loads: modules that no relay needs cost each of them memory and time."""
+"""Start of a relay: the modules that it loads, each of which costs memory and time, and invalid values."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 from standins.scripted import ROOT, World
 
-UNWANTED = (
+UNWANTED_MODULES = (
     *("_ssl", "_hashlib", "http.client", "email", "multiprocessing", "unittest", "tests", "tools"),
     *("fleetlab", "standins", "quorum", "msgspec", "numpy", "typer"),
 )
 
 
-def said(code: str, folder: Path) -> str:
-    """What a Python process prints."""
+def output_of(code: str, folder: Path) -> str:
+    """The standard output of a Python process that runs the code."""
     command = [sys.executable, "-c", code]
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, check=True).stdout
 
 
 def test_a_relay_loads_neither_tls_nor_anything_of_tests() -> None:
-    """OpenSSL alone took 5.5 MB of the 26 that a relay of 32 MB had at its start."""
-    loaded = set(said("import sys, relay.__main__; print(*sys.modules)", ROOT).split())
+    """OpenSSL alone took 5.5 MB of the 26 MB that a relay limited to 32 MB had at its start."""
+    loaded = set(output_of("import sys, relay.__main__; print(*sys.modules)", ROOT).split())
     assert "decisions.engine" in loaded
-    assert loaded.isdisjoint(UNWANTED)
+    assert loaded.isdisjoint(UNWANTED_MODULES)
 
 
 def test_the_build_leaves_nothing_to_compile_at_a_start(tmp_path: Path) -> None:
-    """And a source that changes after it is still read anew."""
+    """A source file that changes after the build is still compiled again."""
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["build"]
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
@@ -48,7 +48,7 @@
     times = source.stat()
     source.write_text("WORD = 'new'\n")
     os.utime(source, ns=(times.st_atime_ns, times.st_mtime_ns))
-    assert said("import relay; print(relay.WORD)", tmp_path).strip() == "new"
+    assert output_of("import relay; print(relay.WORD)", tmp_path).strip() == "new"
 
 
 @pytest.mark.parametrize(
@@ -67,23 +67,23 @@
         ("settings.request_classes.0.deadline_us", -1, "classes.keyed.deadline_us"),
     ],
 )
-def test_what_cannot_be_met_ends_the_start_with_one_line_that_names_the_key(
+def test_an_invalid_value_ends_the_start_with_one_line_that_names_its_key(
     tmp_path: Path, path: str, value: object, reason: str
 ) -> None:
-    """Before a socket or a file is opened."""
+    """The value is checked before any socket or file is opened."""
     world = World(tmp_path)
-    told = {key: item for key, item in world.environment().items() if key != "ROUTER_DISCOVERY"}
+    environment = {key: item for key, item in world.environment().items() if key != "ROUTER_DISCOVERY"}
     config = json.loads((tmp_path / "config.json").read_text()) | {"discovery": "127.0.0.1:9"}
-    *way, last = path.split(".")
-    place: Any = config
-    for key in way:
-        place = place[int(key) if isinstance(place, list) else key]
-    place[last] = value
+    *parents, last = path.split(".")
+    node: Any = config
+    for key in parents:
+        node = node[int(key) if isinstance(node, list) else key]
+    node[last] = value
     (tmp_path / "config.json").write_text(json.dumps(config))
     command = [sys.executable, "-m", "relay"]
-    ended = subprocess.run(
-        command, cwd=ROOT, env=told, capture_output=True, text=True, check=False, timeout=30
+    completed = subprocess.run(
+        command, cwd=ROOT, env=environment, capture_output=True, text=True, check=False, timeout=30
     )
-    assert ended.returncode == 2
-    assert f"configuration: {reason}" in ended.stderr
-    assert ended.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert f"configuration: {reason}" in completed.stderr
+    assert completed.stderr.count("\n") == 1
