--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""The window of a key with the real process: nothing is repeated that could run after it."""
+"""The window of a key with the real process: no repeat is sent that could run after the window."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 WINDOW_S = 1.0
 
 
-def shorten(world: World) -> None:
-    """Keys last a second."""
-    short = {"dedup_window_us": int(WINDOW_S * SECOND), "key_scope": "all"}
-    world.settings["request_classes"] = [cls | short for cls in world.settings["request_classes"]]
+def shorten_windows(world: World) -> None:
+    """Set the window of all keys to a second."""
+    window = {"dedup_window_us": int(WINDOW_S * SECOND), "key_scope": "all"}
+    world.settings["request_classes"] = [cls | window for cls in world.settings["request_classes"]]
 
 
 async def test_a_connection_that_comes_up_after_the_window_carries_no_repeat(world: World) -> None:
-    """The first call is reset and may have run; the next one's connection is up once the key has passed."""
-    shorten(world)
-    loop, came = asyncio.get_running_loop(), bytearray()
+    """The first call is reset and may have run; the next connection is set up only after the key's window."""
+    shorten_windows(world)
+    loop, received = asyncio.get_running_loop(), bytearray()
     with full_backlog() as full:
         host = await world.add("h1")
         client = await world.run()
@@ -41,20 +41,20 @@
             while True:
                 peer, _ = await loop.sock_accept(full.sock)
                 while data := await loop.sock_recv(peer, 65536):
-                    came.extend(data)
+                    received.extend(data)
                 peer.close()
 
         full.make_room()
         accepting = asyncio.create_task(accept())
         assert (await world.directory.notice("m1"))["result"] == "bounced"
         accepting.cancel()
-    assert not came
+    assert not received
     assert len(host.seen) == 1
 
 
 async def test_a_window_that_passes_while_the_process_is_down_is_over(world: World) -> None:
-    """The next life counts from the first attempt that may have run, by a clock that goes on."""
-    shorten(world)
+    """The next life counts from the first attempt that may have run, by wall-clock time."""
+    shorten_windows(world)
     host = await world.add("h1", lambda _request: None)
     client = await world.run()
     assert await client.hand_in("m1", "keyed") == b"+OK"
@@ -67,7 +67,7 @@
     assert len(host.seen) == 1
 
 
-def test_a_repeat_tells_how_long_it_may_begin() -> None:
+def test_a_repeat_carries_the_time_by_which_it_must_begin() -> None:
     relay = Relay(settings(), seed=1)
     [first] = sends(relay.step(0, [endpoint_update(entry("h1")), arrival("m1", KEYED)]))
     assert first.latest_begin_us == 0
