--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The real process on loopback sockets: what clients, hosts and the platform see of it."""
+"""The real process on loopback sockets, as clients, endpoints and the platform see it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from standins.scripted import Request, World, delivered, enqueue, packed, silent, soon
 
 
-async def test_a_message_goes_on_unchanged(world: World) -> None:
+async def test_a_message_is_delivered_unchanged(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     body = bytes(range(256)) * 4
@@ -23,8 +23,8 @@
     assert 0 < int(re.fullmatch(r"(\d+)m", call.headers["x-remaining"])[1]) <= 30_000  # type: ignore[index]
 
 
-async def test_connections_are_used_again(world: World) -> None:
-    """A new connection for each message costs the host work and the message time."""
+async def test_connections_are_reused(world: World) -> None:
+    """A new connection for each message would cost the host work and delay the message."""
     host = await world.add("h1")
     client = await world.run()
     for number in range(5):
@@ -33,8 +33,8 @@
     assert host.connections == 1
 
 
-async def test_a_request_that_comes_twice_is_one_message(world: World) -> None:
-    """A client repeats a request on a new connection if the old one's end crossed it."""
+async def test_a_repeated_request_is_one_message(world: World) -> None:
+    """A client repeats a request on a new connection where the old one was closed meanwhile."""
     host = await world.add("h1")
     client = await world.run()
     assert await client.hand_in("m1") == b"+OK"
@@ -63,7 +63,7 @@
         b"*2\r\n*1\r\n$1\r\na\r\n$1\r\nb\r\n",
     ],
 )
-async def test_what_cannot_be_read_is_answered_and_the_connection_goes_on(
+async def test_an_invalid_request_is_answered_and_the_connection_stays_open(
     world: World, request_bytes: bytes
 ) -> None:
     client = await world.run()
@@ -78,10 +78,10 @@
         b"*1000000000\r\n",
         b"*1\r\n$x\r\n",
         b"$" + b"9" * 70_000,
-        packed(*enqueue("m1", body=b"abcd"))[:-2] + b"efgh\r\n",  # longer than it tells
+        packed(*enqueue("m1", body=b"abcd"))[:-2] + b"efgh\r\n",  # longer than announced
     ],
 )
-async def test_a_broken_frame_ends_that_connection_alone(world: World, frame: bytes) -> None:
+async def test_a_broken_frame_ends_only_its_connection(world: World, frame: bytes) -> None:
     other = await world.run()
     client = await world.client()
     client.writer.write(frame)
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize(
     ("data", "line"), [(b"", b""), (b"*5\r\n$7\r\nENQ", b"-ERR no whole request in time\r\n")]
 )
-async def test_a_peer_without_a_whole_request_is_parted_from(world: World, data: bytes, line: bytes) -> None:
-    """An error line or an end is owed three seconds after connecting; a line only to what has begun."""
+async def test_a_connection_without_a_whole_request_is_closed(world: World, data: bytes, line: bytes) -> None:
+    """Within three seconds of connecting it gets an error line, if a request has begun, and is closed."""
     served = await world.run()
     client = await world.client()
     client.writer.write(data)
@@ -103,7 +103,7 @@
     assert 2 < clients.REQUEST_TIMEOUT_S < 3
 
 
-async def test_a_request_that_stops_halfway_ends_a_served_connection(world: World) -> None:
+async def test_an_unfinished_request_ends_a_served_connection(world: World) -> None:
     client = await world.run()
     assert await client.raw(packed(b"PING") + b"*1\r\n$4\r\nPI") == b"+PONG"
     assert await soon(client.reader.read()) == b"-ERR no whole request in time\r\n"
@@ -121,7 +121,7 @@
     await host.call(0)
 
 
-async def test_over_the_holding_cap_a_message_is_refused_with_a_time(world: World) -> None:
+async def test_above_the_limit_of_held_messages_a_message_is_refused_with_a_retry_time(world: World) -> None:
     world.settings["allowed"]["open_cap"] = 1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -130,8 +130,8 @@
     assert await client.hand_in("m2") == b"-BUSY 2000"
 
 
-async def test_a_full_disk_budget_refuses_and_goes_on(world: World) -> None:
-    """More than ``disk_mb`` in the folder is a crash: new work is turned away before."""
+async def test_a_full_disk_budget_refuses_messages_until_there_is_room(world: World) -> None:
+    """More than ``disk_mb`` in the folder would be a crash, so messages are refused before that."""
     world.disk_mb = 0.1
     host = await world.add("h1", silent)
     client = await world.run()
@@ -146,17 +146,17 @@
     await host.until(lambda: any("late" in request.ids for request in host.seen))
 
 
-async def test_sends_of_one_step_share_a_call_and_each_has_its_own_end(world: World) -> None:
+async def test_sends_of_one_step_share_a_call_and_have_separate_outcomes(world: World) -> None:
     def mixed(request: Request) -> None:
-        ends = {"m1": "delivered", "m2": "refused", "m3": "over", "m4": "failed", "m5": "spent"}
-        request.answer(200, "".join(f"{ref} {ends[ref]}\r\n" for ref in request.ids))
+        outcomes = {"m1": "delivered", "m2": "refused", "m3": "over", "m4": "failed", "m5": "spent"}
+        request.answer(200, "".join(f"{ref} {outcomes[ref]}\r\n" for ref in request.ids))
 
     host = await world.add("h1", kind="banks")
     client = await world.run()
     host.script.append(mixed)
     refs = [f"m{number}" for number in range(1, 6)]
-    kinds = {"m4": "unsafe"}
-    client.writer.write(b"".join(packed(*enqueue(ref, kinds.get(ref, "safe"))) for ref in refs))
+    classes = {"m4": "unsafe"}
+    client.writer.write(b"".join(packed(*enqueue(ref, classes.get(ref, "safe"))) for ref in refs))
     assert [await soon(client.reader.readline()) for _ in refs] == [b"+OK\r\n"] * 5
     call = await host.call(0)
     assert call.target == "/hook/batch"
@@ -168,7 +168,7 @@
 
 
 async def test_a_batch_answer_that_is_cut_may_have_run(world: World) -> None:
-    """A batch is delivered only when its whole answer is there."""
+    """A batch counts as delivered only once its whole answer has been read."""
 
     def cut(request: Request) -> None:
         request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nm1 delivered\r\n")
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 504])
-async def test_what_never_ran_is_sent_again_though_unsafe(world: World, status: int) -> None:
+async def test_an_unsafe_message_that_never_ran_is_sent_again(world: World, status: int) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(status))
@@ -191,7 +191,7 @@
     assert (await host.call(1)).ids == ["m1"]
 
 
-async def test_a_message_that_is_over_is_left_alone(world: World) -> None:
+async def test_a_message_that_its_endpoint_declares_over_is_not_sent_again(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(410))
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("reply", [lambda r: r.answer(500), Request.reset, lambda r: r.writer.close()])
-async def test_what_may_have_run_is_not_repeated_where_that_harms(world: World, reply: object) -> None:
+async def test_an_unsafe_message_that_may_have_run_is_not_repeated(world: World, reply: object) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(reply)  # type: ignore[arg-type]
@@ -215,7 +215,7 @@
 
 
 async def test_a_reset_on_a_reused_connection_may_have_run(world: World) -> None:
-    """Idle or not before: once the last byte is out, the host may have begun."""
+    """Whether the connection was idle before or not: after the last byte the host may have begun."""
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -226,7 +226,7 @@
     assert [request.connection for request in host.seen] == [1, 1]
 
 
-async def test_a_connection_that_the_host_ended_is_not_written_to(world: World) -> None:
+async def test_a_connection_closed_by_the_host_is_not_written_to(world: World) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1", "unsafe")
@@ -242,13 +242,15 @@
     host = await world.add("h1", listens=False)
     client = await world.run()
     assert await client.hand_in("m1", "unsafe") == b"+OK"
-    await asyncio.sleep(0.05)  # a first try may be refused; without one the test proves less, not wrongly
+    await asyncio.sleep(
+        0.05
+    )  # time for a first attempt, which is refused; without one the test still holds but shows less
     await host.start()
     assert (await host.call(0)).ids == ["m1"]
 
 
-async def test_silence_ends_with_the_messages_time(world: World) -> None:
-    """A keyed message that may have run is failed, a safe one handed back with a time to come again."""
+async def test_an_unanswered_call_ends_at_the_messages_deadline(world: World) -> None:
+    """A keyed message that may have run is failed; a safe one is handed back with a retry time."""
     await world.add("h1", silent)
     client = await world.run()
     await client.hand_in("m1", "keyed", d=1500)
@@ -257,8 +259,8 @@
     assert await world.directory.notice("m2") == {"ref": "m2", "result": "bounced", "wait_ms": 2000}
 
 
-async def test_a_wait_is_heeded(world: World) -> None:
-    """Told on any answer, also on one that delivers."""
+async def test_a_wait_is_observed(world: World) -> None:
+    """Any answer may ask for a wait, also one that confirms a delivery."""
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.answer(429, X_Retry_In_Ms="600"))
@@ -270,13 +272,13 @@
     assert (await host.call(2)).at_s - second.at_s >= 0.6
 
 
-async def test_nothing_new_goes_to_a_host_that_drains(world: World) -> None:
+async def test_no_new_call_goes_to_a_draining_host(world: World) -> None:
     draining, other = await world.add("h1"), await world.add("h2", site="b")
     client = await world.run()
     await client.hand_in("m1")
     await draining.call(0)
     world.directory.change("h1", health="DRAINING")
-    while draining.writers:  # the relay has heard of it once it closes its idle connection
+    while draining.writers:  # the relay closes its idle connection once it knows
         await asyncio.sleep(0.01)
     await client.hand_in("m2")
     assert (await other.call(0)).ids == ["m2"]
@@ -289,16 +291,16 @@
 
 
 @pytest.mark.parametrize("how", ["lose", "garble"])
-async def test_a_watch_that_breaks_is_asked_for_again(world: World, how: str) -> None:
+async def test_a_watch_that_breaks_is_restarted(world: World, how: str) -> None:
     host = await world.add("h1")
     client = await world.run()
     await client.hand_in("m1")
     await host.call(0)
     getattr(world.directory, how)()
-    await client.hand_in("m2", dest=2, d=400)  # notices go through also while discovery is down
+    await client.hand_in("m2", dest=2, d=400)  # notices are posted also while the list is not available
     assert (await world.directory.notice("m2"))["result"] == "bounced"
     await client.hand_in("m3")
-    await host.call(1)  # the list that was held still serves
+    await host.call(1)  # the last list is still used
     world.directory.down = False
     late = await world.add("h2", block=2)
     await client.hand_in("m4", dest=2)
@@ -320,7 +322,7 @@
     assert len(set(posts)) == 1
 
 
-async def test_bad_entries_of_the_list_are_left_out(world: World) -> None:
+async def test_invalid_entries_of_the_list_are_left_out(world: World) -> None:
     world.directory.change("bad1", dial="nowhere")
     world.directory.change("bad2", dial="127.0.0.1:1", health="ODD")
     world.directory.change("bad3", dial="127.0.0.1:1", block="x")
@@ -331,7 +333,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"nonsense\r\n\r\n", b"HTTP/1.1 500 X\r\nX: " + b"y" * 70_000])
-async def test_an_answer_that_cannot_be_read_may_have_run(world: World, answer: bytes) -> None:
+async def test_a_message_with_an_unreadable_answer_may_have_run(world: World, answer: bytes) -> None:
     host = await world.add("h1")
     client = await world.run()
     host.script.append(lambda request: request.writer.write(answer))
@@ -341,8 +343,8 @@
     await host.until(lambda: host.seen[-1].ids == ["m2"])
 
 
-async def test_over_the_bound_the_connection_that_was_silent_longest_goes(world: World) -> None:
-    """Descriptors are bounded; turning the new one away would lose the request on its way."""
+async def test_above_the_limit_the_connection_idle_longest_is_closed(world: World) -> None:
+    """Descriptors are limited; refusing the new connection would lose the request on it."""
     world.sockets = 8  # of which half are for clients
     first = await world.run()
     others = [await world.client() for _ in range(3)]
@@ -355,8 +357,8 @@
         assert await client.command(b"PING") == b"+PONG"
 
 
-async def test_a_post_of_a_notice_that_hangs_is_made_again_in_time(world: World) -> None:
-    """A notice is overdue 300 ms after the message's time: one silent connection must not use that up."""
+async def test_a_post_of_a_notice_that_hangs_is_repeated_in_time(world: World) -> None:
+    """A notice is overdue 300 ms after the deadline: one silent connection must not use up that time."""
     client = await world.run()
     await world.directory.call(0)
     world.directory.script.append(silent)
@@ -367,8 +369,8 @@
     assert [notice["ref"] for notice in world.directory.notices] == ["m1", "m2"]
 
 
-async def test_a_watch_that_falls_silent_is_asked_for_again(world: World) -> None:
-    """A cut network ends no connection; what the list then tells binds all the same."""
+async def test_a_silent_watch_is_restarted(world: World) -> None:
+    """A network failure closes no connection, but changes of the list apply all the same."""
     world.directory.heartbeat = False
     await world.run()
     await world.directory.call(0)
@@ -376,8 +378,8 @@
     assert again.target == "/discovery/hosts?watch=1&from=1"
 
 
-def test_silences_end_within_what_the_rules_allow() -> None:
-    """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
-    asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
+def test_timeouts_of_silent_connections_are_within_the_rules() -> None:
+    """A notice is overdue after 300 ms, a change must be known after 6 s, a watch has a line every 2 s."""
+    restart_s = 0.65 + 0.5  # the decision module's longest first gap, and a slow answer
     assert discovery.POST_S[0] + discovery.AGAIN_S[0] < 0.3
-    assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - asked_again_s
+    assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - restart_s
