--- a/relay/driver.py
+++ b/relay/driver.py
@@ -171,7 +171,7 @@
         self._loop = asyncio.get_running_loop()
         self.clock = Clock()
         self._module = DecisionModule(config.settings, config.seed)
-        self._hosts = EndpointCalls(
+        self._endpoint_calls = EndpointCalls(
             config.settings.kinds,
             config.settings.keepalive_us,
             config.connect_timeout_us,
@@ -234,13 +234,15 @@
 
         It refers to this driver's own objects, so it is valid only until the next event is handled.
         """
-        calls, fds = self._hosts.hand_over(room)
+        calls, fds = self._endpoint_calls.hand_over(room)
         same_layout = SameLayoutState(
             self.clock.offset_us, self._module, self._pending_events, self._watch.version, calls
         )
         return (
             AnyVersionState(
-                list(self._finished_ids), self._hosts.active_waits, list(self._hosts.remembered_hosts)
+                list(self._finished_ids),
+                self._endpoint_calls.active_waits,
+                list(self._endpoint_calls.remembered_hosts),
             ),
             same_layout,
             fds,
@@ -249,8 +251,8 @@
     def import_any_version_state(self, imported: AnyVersionState) -> None:
         """Take over the state of a process of any version; called before the start."""
         self._finished_ids.update(dict.fromkeys(imported.over))
-        self._hosts.restore_waits(imported.waits)
-        self._hosts.remembered_hosts.update(dict.fromkeys(imported.ever))
+        self._endpoint_calls.restore_waits(imported.waits)
+        self._endpoint_calls.remembered_hosts.update(dict.fromkeys(imported.ever))
 
     def start_from(self, former: SameLayoutState, sockets: Iterator[socket.socket]) -> None:
         """Start with the state of a process of the same layout instead of a new decision module."""
@@ -260,14 +262,16 @@
         self._pending_events = former.pending_events
         self._notices.start()
         known = {event.id for event in self._pending_events if isinstance(event, api.Arrival)}
-        self._hosts.take_over(former.calls, sockets)
+        self._endpoint_calls.take_over(former.calls, sockets)
         self._resume_from_journal(known | self._module.messages.keys())
         self._watch.resume(former.list_version)
 
     def _log_status(self) -> None:
         """Log held messages, calls and what became of connections to endpoints so far."""
-        counts = ", ".join(f"{count} {name}" for name, count in sorted(self._hosts.connection_counts.items()))
-        calls_out = len(self._hosts.calls)
+        counts = ", ".join(
+            f"{count} {name}" for name, count in sorted(self._endpoint_calls.connection_counts.items())
+        )
+        calls_out = len(self._endpoint_calls.calls)
         LOG.info("holds %d messages, %d calls out; connections: %s", len(self._held), calls_out, counts)
         self._status_timer = self._loop.call_later(STATUS_LOG_INTERVAL_S, self._log_status)
 
@@ -296,14 +300,14 @@
                 timer.cancel()
         self._watch.close()
         self._notices.close()
-        self._hosts.close()
+        self._endpoint_calls.close()
 
     def set_banned(self, host: str, banned: bool) -> bool:
         """Ban an endpoint or lift its ban, also for later lives; False where no list ever named the host.
 
         Raises ``JournalFullError`` where the ban cannot be stored; nothing has changed then.
         """
-        if not self._hosts.is_known(host) and host not in self._journal.banned_hosts:
+        if not self._endpoint_calls.is_known(host) and host not in self._journal.banned_hosts:
             return False
         self._journal.set_banned(host, banned)
         self._apply_ban(host, banned)
@@ -311,7 +315,7 @@
 
     def _apply_ban(self, host: str, banned: bool) -> None:
         LOG.info("operators: %s is %s", host, "left out" if banned else "in use")
-        self._hosts.set_banned(host, banned)
+        self._endpoint_calls.set_banned(host, banned)
         self._post_event(api.Ban(host, banned))
 
     @property
@@ -319,7 +323,7 @@
         """The current figures for operators."""
         return OperatorStats(
             tuple(cls.name for cls in self._settings.classes),
-            MessageCounts(self._result_counts, self._hosts.written_messages),
+            MessageCounts(self._result_counts, self._endpoint_calls.written_messages),
             len(self._held),
             self._module.listed_count,
             self._module.excluded_count,
@@ -328,14 +332,14 @@
     @property
     def call_counts(self) -> dict[str, int]:
         """Calls out as the network side and the decision module count them; equal after the next step."""
-        return {"network": len(self._hosts.calls), "module": self._module.calls_out}
+        return {"network": len(self._endpoint_calls.calls), "module": self._module.calls_out}
 
     @property
     def descriptor_counts(self) -> dict[str, int]:
         """Open descriptors by purpose; a connection that is being established is not counted yet."""
         return {
-            "endpoints_idle": self._hosts.idle_count,
-            "endpoints_busy": self._hosts.busy_count,
+            "endpoints_idle": self._endpoint_calls.idle_count,
+            "endpoints_busy": self._endpoint_calls.busy_count,
             "discovery": self._watch.open_connections + self._notices.open_connections,
         }
 
@@ -347,7 +351,7 @@
     @property
     def idle(self) -> bool:
         """Whether no call is out, no notice is unconfirmed and no event waits for a step."""
-        return not self._hosts.calls and not self._notices.unconfirmed and not self._pending_events
+        return not self._endpoint_calls.calls and not self._notices.unconfirmed and not self._pending_events
 
     @property
     def busy_retry_ms(self) -> int:
@@ -425,7 +429,7 @@
 
     def _apply_list(self, update: DirectoryUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
         """Apply an update of the endpoint list to calls at once, and to the module with its next step."""
-        self._hosts.apply_update(update)
+        self._endpoint_calls.apply_update(update)
         kind = kind or (api.EndpointUpdateKind.WHOLE if update.whole else api.EndpointUpdateKind.CHANGES)
         self._post_event(api.EndpointUpdate(kind, tuple(listed.entry for listed in update.endpoints)))
 
@@ -435,9 +439,9 @@
         Endpoints that drain or are gone come first, because they restrict calls. If it is interrupted, a part
         of the update is in force, and the version from which the list is watched is still the old one.
         """
-        changes = ordered_changes(update, self._hosts.endpoints)
+        changes = ordered_changes(update, self._endpoint_calls.endpoints)
         for number, piece in enumerate(split_changes(changes, ENDPOINTS_PER_PIECE)):
-            self._hosts.apply_update(DirectoryUpdate(update.version, False, piece))
+            self._endpoint_calls.apply_update(DirectoryUpdate(update.version, False, piece))
             entries = tuple(listed.entry for listed in piece)
             self._post_event(
                 api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, continued=number > 0)
@@ -555,9 +559,9 @@
                 case api.Fail():
                     self._end_with_notice(Notice(action.id, "dead"))
                 case api.CloseIdle():
-                    self._hosts.close_idle(action.host)
+                    self._endpoint_calls.close_idle(action.host)
                 case api.Cancel():
-                    self._hosts.cancel(action.id, action.attempt)
+                    self._endpoint_calls.cancel(action.id, action.attempt)
                 case api.Subscribe():
                     self._watch.subscribe()
                 case api.Wake():
@@ -592,7 +596,7 @@
         Attempts are journaled before the first byte is written.
         """
         remaining = iter(batch)
-        while chunk := list(islice(remaining, self._hosts.max_batch(host))):
+        while chunk := list(islice(remaining, self._endpoint_calls.max_batch(host))):
             self._postponed_sends += [send for send in chunk if not self._can_finish_before_shutdown(send)]
             chunk = [
                 send for send in chunk if send.id in self._held and self._can_finish_before_shutdown(send)
@@ -600,7 +604,9 @@
             parts, attempts, now_us = [], [], self.clock()
             for send in chunk:
                 parts.append(part := self._build_part(send, now_us))
-                attempts.append((send.id, Attempt(part.attempt, host, self._hosts.zone_of(host), now_us)))
+                attempts.append(
+                    (send.id, Attempt(part.attempt, host, self._endpoint_calls.zone_of(host), now_us))
+                )
             if not parts:
                 continue
             call = Call(host, parts, time.monotonic())
@@ -613,7 +619,7 @@
                 for part in parts:
                     self._attempt_settled(call, part, PartOutcome(api.Verdict.NOT_SENT))
                 continue
-            self._hosts.send(call)
+            self._endpoint_calls.send(call)
 
     def _build_part(self, send: api.Send, now_us: int) -> Part:
         """Build the message's next attempt and count it."""
