--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -186,9 +186,9 @@
         await server.start(sock)
         terminated = asyncio.Event()
         terminated.set()
-        driver = SimpleNamespace(shut_down=lambda _stop_s: None, idle=True)
-        offer = SimpleNamespace(close=lambda: None)
-        service = SimpleNamespace(driver=driver, server=server, offer=offer)
+        driver = SimpleNamespace(set_shutdown_deadline=lambda _deadline_s: None, idle=True)
+        handover_server = SimpleNamespace(close=lambda: None)
+        service = SimpleNamespace(driver=driver, server=server, handover_server=handover_server)
         await relay_main.shut_down(terminated, cast(relay_main.Service, service))
         peer.settimeout(BOUND_S)
         assert peer.recv(64) == b"+PONG\r\n", "the event loop does not run here any more"
