--- a/relay/calls.py
+++ b/relay/calls.py
@@ -115,7 +115,7 @@
         headers: Headers = [("X-Txn", parts[0].id), left]
         if parts[0].key:
             headers.append(("Idempotency-Key", parts[0].key))
-        return connection.build_request("POST", SINGLE_PATH, headers, parts[0].body, brief=True)
+        return connection.build_request("POST", SINGLE_PATH, headers, parts[0].body, status_suffices=True)
     frames = [
         b"%s %s %d\r\n%s\r\n" % (p.id.encode(), (p.key or "-").encode(), len(p.body), p.body) for p in parts
     ]
--- a/relay/http.py
+++ b/relay/http.py
@@ -1,4 +1,7 @@
-"""One HTTP/1.1 client connection on a plain socket: it counts its bytes and repeats nothing by itself."""
+"""One HTTP/1.1 client connection on a plain socket, with an exact count of the bytes that are not yet sent.
+
+Nothing is repeated here: whether a request may be sent again is for the caller to decide.
+"""
 
 from __future__ import annotations
 
@@ -15,24 +18,24 @@
 
 Address = tuple[str, int]
 Headers = list[tuple[str, str]]
-MAX_HEAD_BYTES = 16 * 1024  # bytes of a status line and headers
-MAX_KEPT_ANSWER_BYTES = (
-    96 * 1024
-)  # bytes of an answer that are kept, for its first line and for a process that reads on
+MAX_HEAD_BYTES = 16 * 1024  # status line and headers together
+# How much of an answer is kept: enough for its status line and for a process that takes the call over.
+MAX_KEPT_ANSWER_BYTES = 96 * 1024
 OK_STATUS_LINE = re.compile(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n")
-MAX_READ_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024  # per recv
+# Errors for a lack of resources on this machine; they say nothing about the peer.
 RESOURCE_SHORTAGE_ERRNOS = (
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
     errno.ENOMEM,
-)  # faults of this machine, not of a peer
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER: on, for no time
-ANSWER_REST_TIMEOUT_S = 0.1  # s for the rest of an answer whose first line has said all that matters
+)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: enabled, with a linger time of 0 s
+ANSWER_REST_TIMEOUT_S = 0.1  # for the rest of an answer whose head already decides the outcome
 
 
 def local_port_of(sock: socket.socket) -> int:
-    """The port of this side; 0 where the system does not tell it."""
+    """Return the local port of a socket, or 0 if the system does not report it."""
     try:
         return int(sock.getsockname()[1])
     except OSError:
@@ -40,32 +43,32 @@
 
 
 class Connection:
-    """A connection whose owner knows exactly how many bytes of its request are still here."""
+    """A client connection whose owner knows exactly how many bytes of the request are still unsent."""
 
     def __init__(self, sock: socket.socket, address: Address) -> None:
-        self.sock, self.unsent_bytes, self._address = sock, 0, address
-        self.local_port = 0  # by which the other side's records name it; 0: not known
-        # Whether another process may hold it too: one that was to take over. Its copy would outlive a close.
+        self.sock = sock
+        self.unsent_bytes = 0
+        self._address = address
+        self.local_port = 0  # identifies the connection in the endpoint's records; 0: unknown
+        # Whether another process, one that was to take over, may hold a copy of the descriptor. The copy
+        # keeps the connection open after a plain close.
         self.shared_with_successor = False
-        self.request_begun = False  # whether a byte of the present request has gone out
-        self.idle_since_s = 0.0  # monotonic time since which it stands idle; 0 until its first call is over
+        self.request_begun = False  # whether a byte of the current request has been sent
+        self.idle_since_s = 0.0  # monotonic time; 0 until the first call on the connection is over
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.received = bytearray()  # the present answer so far
-        self._status_suffices, self._read_deadline_s = (
-            False,
-            math.inf,
-        )  # whether 200 says all; the loop's time to wait until then
+        self.received = bytearray()  # the current answer so far, up to MAX_KEPT_ANSWER_BYTES
+        self._status_suffices = False  # whether a status of 200 decides the outcome without the rest
+        self._read_deadline_s = math.inf  # the loop's time until which the answer is waited for
         self._loop = asyncio.get_running_loop()
-        self._reader_added = False  # whether the loop looks for bytes; it goes on between calls
-        self._writer_added = False  # whether it looks for room to write
-        self._read_waiter: asyncio.Future[None] | None = None  # of an answer's next bytes
-        self.on_unexpected_data: Callable[[], None] | None = (
-            None  # told of bytes or an end that nobody waits for
-        )
+        self._reader_added = False  # whether the loop watches for incoming bytes; stays so between calls
+        self._writer_added = False  # whether the loop watches for room to write
+        self._read_waiter: asyncio.Future[None] | None = None  # waits for the next bytes of the answer
+        # Called for bytes, or an end of the connection, that nobody waits for.
+        self.on_unexpected_data: Callable[[], None] | None = None
 
     @classmethod
     async def open(cls, address: Address) -> Connection:
-        """Connect; ``OSError`` where the other side refuses."""
+        """Connect to an address; raises ``OSError`` if that fails."""
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -79,10 +82,14 @@
         return connection
 
     def build_request(
-        self, method: str, target: str, headers: Headers, body: bytes = b"", brief: bool = False
+        self, method: str, target: str, headers: Headers, body: bytes = b"", status_suffices: bool = False
     ) -> bytes:
-        """A request's bytes; where ``brief``, a 200 says all, and the rest is waited for only shortly."""
-        self.received, self._status_suffices, self._read_deadline_s = bytearray(), brief, math.inf
+        """Return the bytes of a request and prepare to read its answer.
+
+        With ``status_suffices`` a status of 200 decides the outcome, and the rest of the answer is waited
+        for only ``ANSWER_REST_TIMEOUT_S``.
+        """
+        self.received, self._status_suffices, self._read_deadline_s = bytearray(), status_suffices, math.inf
         headers = [("Host", f"{self._address[0]}:{self._address[1]}"), *headers]
         if method != "GET":
             headers.append(("Content-Length", str(len(body))))
@@ -93,19 +100,20 @@
         ]
         return b"".join(part or b"" for part in parts)
 
-    async def send(self, data: bytes, by_s: float = math.inf) -> None:
-        """Hand every byte to the kernel; ``unsent`` is exact at every moment, also when this is cancelled.
+    async def send(self, data: bytes, deadline_s: float = math.inf) -> None:
+        """Hand all bytes to the kernel; ``unsent_bytes`` is exact at any moment, also after a cancellation.
 
-        None is handed over after ``by_s``, a time of the loop: ``TimeoutError``, and the last one stays here.
+        Nothing is handed over after ``deadline_s``, a time of the loop: ``TimeoutError`` is raised, and at
+        least the last byte is not sent.
 
-        ``loop.sock_sendall`` will not do: cancelled after its last byte it looks as if it had not ended,
-        and a call that may have run would be taken for one that never did.
+        ``loop.sock_sendall`` is not used: if it is cancelled after the last byte, the write looks unfinished,
+        and a call that may have run would be taken for one that never ran.
         """
         view = memoryview(data)
         self.unsent_bytes, self.request_begun = len(view), False
         while view:
-            if by_s < math.inf and self._loop.time() >= by_s:
-                raise TimeoutError("too late for the rest of a request")
+            if deadline_s < math.inf and self._loop.time() >= deadline_s:
+                raise TimeoutError("write deadline passed before the last byte of the request was sent")
             try:
                 sent = self.sock.send(view)
             except (BlockingIOError, InterruptedError):
@@ -129,28 +137,28 @@
             self._writer_added = False
 
     async def next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next part of the answer; a broken or ended connection raises."""
+        """Return the next h11 event of the answer; raises if the connection breaks or ends."""
         while (event := self._http.next_event()) is h11.NEED_DATA:
             await self._wait_for_data()
         if isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError("closed before an answer")
+            raise ConnectionResetError("connection closed before an answer")
         return event  # type: ignore[return-value]
 
     def _receive(self, data: bytes) -> None:
         self.received += data[: MAX_KEPT_ANSWER_BYTES - len(self.received)]
         self._http.receive_data(data)
 
-    def resume_answer(self, came: bytes) -> None:
-        """Go on with an answer that another process began to read; the request is out, whole."""
+    def resume_answer(self, received: bytes) -> None:
+        """Continue an answer of which another process has read the start; the request is fully written."""
         self.request_begun = True
-        if came:
-            self._receive(came)
+        if received:
+            self._receive(received)
 
     async def _wait_for_data(self) -> None:
         """Wait for more of the answer.
 
-        Some hosts stop behind the first line. Waited for until the message's time is up, they would hold a
-        slot for nothing, and the end that is known would come too late.
+        Some endpoints stop after the status line. If the rest were waited for until the message's deadline,
+        it would occupy a slot for nothing, and the known outcome would be reported too late.
         """
         if self._status_suffices and self.has_ok_status_line:
             self._read_deadline_s = min(self._read_deadline_s, self._loop.time() + ANSWER_REST_TIMEOUT_S)
@@ -174,18 +182,18 @@
             waiter.set_exception(TimeoutError())
 
     def watch(self) -> None:
-        """Have the loop look for bytes, until there are some that nobody waits for.
+        """Have the loop watch for incoming bytes, until some arrive that nobody waits for.
 
-        Asked for anew with each read, as by ``loop.sock_recv``, that costs four system calls a call. A number
-        is given and not the socket: the loop writes out what it does not know yet, and a socket's text asks
-        the system twice.
+        Registering anew for each read, as ``loop.sock_recv`` does, costs four system calls per call. The
+        descriptor is passed rather than the socket: the loop formats an unknown file object as text, and
+        formatting a socket makes two system calls.
         """
         if not self._reader_added:
             self._loop.add_reader(self.sock.fileno(), self._on_readable)
             self._reader_added = True
 
     def _on_readable(self) -> None:
-        """Take what came at once: left for later, the loop would tell of it a second time."""
+        """Read at once what has arrived: if it were left for later, the loop would report it again."""
         waiter = self._read_waiter
         if waiter is None:
             self._unwatch()
@@ -207,7 +215,7 @@
         if not data:
             self._unwatch()
             if not self.received:
-                raise ConnectionResetError("ended without an answer")
+                raise ConnectionResetError("connection ended without an answer")
         self._receive(data)
 
     def _unwatch(self) -> None:
@@ -216,7 +224,7 @@
             self._reader_added = False
 
     def read_pending(self) -> bool:
-        """Take in what has come; whether there is something that its reader has not looked at yet."""
+        """Read what has arrived; return whether there is something that the reader has not processed yet."""
         if self._read_waiter is None:
             return self._read_ahead()
         if not self._read_waiter.done():
@@ -224,7 +232,7 @@
         return self._read_waiter.done()
 
     def _read_ahead(self) -> bool:
-        """The same before the reader of an answer has had its first turn; an end is left for it to find."""
+        """Do the same before the answer's reader has run at all; errors and ends are left for it to find."""
         if not self.request_begun or self.unsent_bytes:
             return False
         with suppress(OSError):
@@ -233,36 +241,37 @@
 
     @property
     def has_ok_status_line(self) -> bool:
-        """Whether a first line with 200 has come, which is true even where the rest cannot be read."""
+        """Whether a status line with 200 has arrived; it holds even if the rest cannot be parsed."""
         return OK_STATUS_LINE.match(self.received) is not None
 
     async def read_response(self) -> h11.Response:
-        """Status and headers of the final answer."""
+        """Return status and headers of the final answer; interim (1xx) answers are skipped."""
         while not isinstance(event := await self.next_event(), h11.Response):
             if not isinstance(event, h11.InformationalResponse):
-                raise h11.RemoteProtocolError(f"no answer but {event!r}")
+                raise h11.RemoteProtocolError(f"expected the head of an answer, got {event!r}")
         return event
 
-    async def read_body(self, most: int) -> bytes:
-        """The rest of the answer, of which ``most`` bytes are bearable."""
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Return the body of the answer; raises ``RemoteProtocolError`` if it is over ``max_bytes``."""
         data = bytearray()
         while isinstance(event := await self.next_event(), h11.Data):
             data += event.data
-            if len(data) > most:
-                raise h11.RemoteProtocolError("the answer is too long")
+            if len(data) > max_bytes:
+                raise h11.RemoteProtocolError("the body of the answer is too long")
         return bytes(data)
 
     def skip_rest(self) -> bool:
-        """Whether the rest of the answer has come with its head, as it mostly does; it is passed over."""
+        """Discard what has arrived of the body; return whether the answer is complete, as it usually is."""
         while (event := self._http.next_event()) is not h11.NEED_DATA:
             if not isinstance(event, h11.Data):
                 return isinstance(event, h11.EndOfMessage)
         return False
 
     def prepare_reuse(self) -> bool:
-        """Whether both sides are done with the last call and keep the connection, by what was read of it.
+        """Make ready for the next request; return whether both sides are done and keep the connection.
 
-        What comes from now on is told as ``unasked``, or found by ``quiet`` when it is taken up again.
+        This goes by what has been read. Bytes that arrive later are reported to ``on_unexpected_data``, or
+        found by ``is_quiet`` when the connection is used again.
         """
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
@@ -271,7 +280,7 @@
         return idle and not self._http.trailing_data[0]
 
     def is_quiet(self) -> bool:
-        """Whether nothing came unasked: neither bytes nor the other side's end."""
+        """Return whether nothing has arrived unasked: neither bytes nor the peer's end."""
         if self._http.trailing_data[0]:
             return False
         try:
@@ -283,20 +292,21 @@
         return False
 
     def close(self) -> None:
-        """Give the connection up, and with it a call that is out on it; once more changes nothing."""
+        """Close the connection, and with it any call in progress on it; may be called again."""
         self._unwatch()
         self._stop_writing()
         if self.shared_with_successor:
-            with suppress(OSError):  # it is closed, or its peer has reset it
+            with suppress(OSError):  # already closed, or reset by the peer
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
 
     def abort(self) -> None:
-        """The same with a reset: the system sends no byte any more that the other side has not got yet.
+        """Close with a reset, so that the system discards the bytes that the peer has not received.
 
-        Behind a cut it would go on to try, and the call would arrive when it is long over here.
+        After a network cut it would otherwise retransmit them, and the call would arrive long after it was
+        given up here.
         """
-        with suppress(OSError):  # it is closed
+        with suppress(OSError):  # already closed
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
 
