--- a/relay/calls.py
+++ b/relay/calls.py
@@ -1,4 +1,4 @@
-"""A call to a host: the messages that travel in it, what is known of it, and its request's bytes."""
+"""A call to an endpoint: the messages that share it, what is known about it, and the bytes of its request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from decisions.interface import Verdict
 from relay.http import Connection, Headers
 
-SINGLE_PATH, BATCH_PATH = "/hook", "/hook/batch"
+SINGLE_PATH = "/hook"  # for a call that carries one message
+BATCH_PATH = "/hook/batch"  # for a call that carries several
 
 
 @dataclass(slots=True, eq=False)
@@ -21,44 +22,44 @@
     attempt: int
     key: str
     body: bytes
-    limit_us: int
-    time_left_us: int  # until the message's time is up
-    send_by_s: float = math.inf  # monotonic time by which its last byte has to be out: its key's window
-    overdue: bool = False  # its limit has passed
-    settled: bool = False
+    limit_us: int  # how long this attempt may take
+    time_left_us: int  # until the message's deadline
+    # Monotonic time by which the last byte of the request has to be sent: the end of its key's window.
+    send_by_s: float = math.inf
+    overdue: bool = False  # whether limit_us has passed
+    settled: bool = False  # whether the outcome has been reported
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class PartOutcome:
-    """How a part ended and what the host said beside it."""
+    """How a part ended, and what the endpoint reported along with it."""
 
     verdict: Verdict
     complete: bool = False
     wait_us: int = 0
     load_report: dict[str, float] = field(default_factory=dict)
-    connection_limit_reached: bool = False  # the host answered that it holds no more connections
+    connection_limit_reached: bool = False  # the endpoint answered that it accepts no more connections
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call out: a host and the parts that travel together."""
+    """One outgoing call: an endpoint's host and the parts that share the call."""
 
     host: str
     parts: list[Part]
-    sent_at_s: float
+    sent_at_s: float  # monotonic
     connection: Connection | None = None
     task: asyncio.Task[None] | None = None
-    window_timer: asyncio.TimerHandle | None = (
-        None  # runs until the first of its messages may no longer begin
-    )
-    request_parts: list[Part] = field(default_factory=list)  # what its request carries
-    connection_idle_ms: int | None = None  # how long its connection had stood idle; None: it is new
-    head_outcome: PartOutcome | None = None  # what the head of its answer tells, while the rest is waited for
+    # Fires when the first of the messages may no longer begin.
+    window_timer: asyncio.TimerHandle | None = None
+    request_parts: list[Part] = field(default_factory=list)  # what the request carries, once it is composed
+    connection_idle_ms: int | None = None  # how long the connection was idle before the call; None: it is new
+    head_outcome: PartOutcome | None = None  # decided by the head of the answer while the rest is awaited
 
     @property
     def connection_description(self) -> str:
-        """What its connection was, in words."""
+        """The connection's local port and age in words, for the log."""
         if self.connection is None:
             return "none"
         age = "new" if self.connection_idle_ms is None else f"{self.connection_idle_ms} ms idle"
@@ -66,7 +67,7 @@
 
     @property
     def fully_written(self) -> bool:
-        """Whether the last byte is out, after which the host may have begun."""
+        """Whether the last byte of the request has been sent, after which the endpoint may have begun."""
         return (
             self.connection is not None
             and self.connection.request_begun
@@ -75,12 +76,12 @@
 
     @property
     def request_fixed(self) -> bool:
-        """Whether its request is fixed: what it carries can only be written, or given up, as a whole."""
+        """Whether the request is composed: its messages can only be written, or given up, all together."""
         return bool(self.request_parts)
 
     @property
     def known_delivered(self) -> bool:
-        """Whether its one message is known to be delivered, although no whole answer could be read."""
+        """Whether its only message is known to be delivered although no complete answer could be read."""
         return (
             len(self.request_parts) == 1
             and self.connection is not None
@@ -94,29 +95,29 @@
 
     @property
     def attempts_text(self) -> str:
-        """Its messages with the numbers of their attempts, for the log."""
+        """The message ids with the numbers of their attempts, for the log."""
         return " ".join(f"{part.id} #{part.attempt}" for part in self.parts)
 
     @property
     def age_ms(self) -> int:
-        """Milliseconds since it was sent."""
+        """Milliseconds since the call was sent."""
         return int((time.monotonic() - self.sent_at_s) * 1000)
 
 
 def call_timeout_us(parts: list[Part]) -> int:
-    """How long a call with these is waited for: to the longest limit, but past no message's time."""
+    """Return how long to wait for a call: the longest limit of its parts, but past no message's deadline."""
     return min(max(part.limit_us for part in parts), *(part.time_left_us for part in parts))
 
 
 def build_call_request(connection: Connection, parts: list[Part]) -> bytes:
-    """The request for one message, or for several that share a call."""
-    left = ("X-Remaining", f"{max(1, call_timeout_us(parts) // 1000)}m")
+    """Return the request for one message, or for several that share a call."""
+    remaining = ("X-Remaining", f"{max(1, call_timeout_us(parts) // 1000)}m")
     if len(parts) == 1:
-        headers: Headers = [("X-Txn", parts[0].id), left]
+        headers: Headers = [("X-Txn", parts[0].id), remaining]
         if parts[0].key:
             headers.append(("Idempotency-Key", parts[0].key))
         return connection.build_request("POST", SINGLE_PATH, headers, parts[0].body, status_suffices=True)
     frames = [
         b"%s %s %d\r\n%s\r\n" % (p.id.encode(), (p.key or "-").encode(), len(p.body), p.body) for p in parts
     ]
-    return connection.build_request("POST", BATCH_PATH, [left], b"".join(frames))
+    return connection.build_request("POST", BATCH_PATH, [remaining], b"".join(frames))
