--- a/relay/answers.py
+++ b/relay/answers.py
@@ -1,4 +1,4 @@
-"""What an answer proves: the verdict, the wait and the load report that it tells, and the ends of a batch."""
+"""What an endpoint's answer means: verdict, wait, load report, and the results of a batch."""
 
 from __future__ import annotations
 
@@ -11,33 +11,32 @@
 from relay.http import RESOURCE_SHORTAGE_ERRNOS
 
 LOG = logging.getLogger(__name__)
-MAX_ANSWER_BYTES = 64 * 1024  # bytes of an answer's body
-BATCH_VERDICTS = {
+MAX_ANSWER_BYTES = 64 * 1024  # body of an answer
+BATCH_VERDICTS = {  # by the result word that a batch's answer gives for a message
     "delivered": Verdict.OK,
     "failed": Verdict.ERROR,
     "refused": Verdict.FULL,
     "over": Verdict.NOT_SENT,
     "spent": Verdict.NOT_SENT,
 }
-STATUS_OVER, STATUS_DELIVERED = 410, 200
-LOCAL_SHORTAGE_WAIT_US = (
-    250_000  # us that a message is held back for where this process has no descriptor left
-)
+STATUS_OVER = 410  # the message is over for the endpoint: nothing more is owed
+STATUS_DELIVERED = 200
+LOCAL_SHORTAGE_WAIT_US = 250_000  # before another try, where this process ran out of descriptors or memory
 
 
 def parse_wait_us(answer: h11.Response) -> int:
-    """The wait that an answer tells, in microseconds; 0 for none."""
+    """Return the wait that an answer asks for, in microseconds; 0 for none."""
     for name, value in answer.headers:
         if name == b"x-retry-in-ms":
             try:
                 return max(0, int(float(value) * 1000))
             except (ValueError, OverflowError):
-                LOG.warning("hosts: unreadable wait %r", value)
+                LOG.warning("hosts: X-Retry-In-Ms is %r, not a number of milliseconds", value)
     return 0
 
 
 def parse_load_report(answer: h11.Response) -> dict[str, float]:
-    """The load report that any answer may carry; values that cannot be read are unknown."""
+    """Return the load report that any answer may carry; values that are not numbers are left out."""
     report: dict[str, float] = {}
     for name, value in answer.headers:
         if name == b"x-pressure":
@@ -50,37 +49,38 @@
     return report
 
 
-def verdict_of(answer: h11.Response, new: bool = False) -> Verdict:
-    """What a status proves; one that the protocol does not know proves nothing.
+def verdict_of(answer: h11.Response, new_connection: bool = False) -> Verdict:
+    """Return the verdict that a status proves; one outside the protocol proves nothing: ``ERROR``.
 
-    A host that holds no more connections answers the first call on a ``new`` one with 503 and ends it: the
-    connection was turned away. Above a limit or with a full queue it keeps the connection.
+    An endpoint that accepts no more connections answers the first call on a new one with 503 and closes it:
+    the connection was turned away. Above a limit or with a full queue it keeps the connection open.
     """
     if answer.status_code == 503 and (b"x-no-slot", b"1") in answer.headers:
         return Verdict.NOT_SENT
-    if new and answer.status_code == 503 and (b"connection", b"close") in answer.headers:
+    if new_connection and answer.status_code == 503 and (b"connection", b"close") in answer.headers:
         return Verdict.CONNECT_FAILED
     table = {STATUS_DELIVERED: Verdict.OK, 429: Verdict.FULL, 503: Verdict.FULL}
-    unsent = dict.fromkeys((400, STATUS_OVER, 413, 504), Verdict.NOT_SENT)
-    return (table | unsent).get(answer.status_code, Verdict.ERROR)
+    not_sent = dict.fromkeys((400, STATUS_OVER, 413, 504), Verdict.NOT_SENT)
+    return (table | not_sent).get(answer.status_code, Verdict.ERROR)
 
 
 def outcome_without_answer(call: Call, error: Exception) -> PartOutcome:
-    """What a call proves that ended without an answer that could be read.
+    """Return the outcome that is certain for a call that ended without a readable answer.
 
-    An answer that makes no sense is the host's failure: the connection brought it, so nothing cut that.
+    A malformed answer is the endpoint's error, not a reset: it arrived, so the connection was not cut.
     """
     if not call.fully_written:
-        if isinstance(error, OSError) and error.errno in RESOURCE_SHORTAGE_ERRNOS:  # says nothing of the host
+        # A lack of resources on this machine says nothing about the endpoint.
+        if isinstance(error, OSError) and error.errno in RESOURCE_SHORTAGE_ERRNOS:
             return PartOutcome(Verdict.NOT_SENT, wait_us=LOCAL_SHORTAGE_WAIT_US)
         return PartOutcome(Verdict.CONNECT_FAILED)
     if call.known_delivered:
-        LOG.info("hosts: %s is delivered by its first line alone: %r", call.parts[0].id, error)
+        LOG.info("hosts: %s was delivered: status 200, then no readable answer: %r", call.parts[0].id, error)
         return PartOutcome(Verdict.OK, complete=True)
     return PartOutcome(Verdict.ERROR if isinstance(error, h11.RemoteProtocolError) else Verdict.RESET)
 
 
 def parse_batch_ends(body: bytes) -> dict[str, str]:
-    """The end of each message of a batch."""
+    """Return the result word of each message of a batch, by message id; malformed lines are left out."""
     lines = (line.split() for line in body.decode("latin-1").splitlines())
     return {words[0]: words[1] for words in lines if len(words) == 2}
