--- a/relay/endpoint_list.py
+++ b/relay/endpoint_list.py
@@ -1,8 +1,8 @@
-"""The list of hosts in discovery's form: read whole, or piece by piece where it is long.
+"""The endpoint list in the directory's format: parsed at once, or incrementally if it is long.
 
-A list of 31,000 hosts takes over a second to read and to apply. Done at once, that would hold every client
-and every call for as long. So a long line is read by a bounded number of hosts at a time, and what it says is
-told as bounded pieces, those first that must bind first. Nothing here does I/O.
+A list of 31,000 endpoints takes over a second to parse and to apply. Done in one go, that would stop all
+clients and calls for as long. So a long line is parsed a bounded number of endpoints at a time, and its
+changes are applied in bounded pieces, the most urgent first. Nothing here does I/O.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 
 LOG = logging.getLogger(__name__)
 LISTING_BY_HEALTH = {"SERVING": Listing.READY, "DRAINING": Listing.DRAINING, "DELETED": Listing.GONE}
+# The order in which changes are applied: those that stop calls come before those that allow them.
 LISTING_PRIORITY = (
     Listing.GONE,
     Listing.DRAINING,
     Listing.READY,
-)  # what stops work comes before what allows it
+)
 HOSTS_ARRAY_START = re.compile(r'"hosts"\s*:\s*\[')
 WHITESPACE = re.compile(r"\s*")
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """A host with the address under which this relay reaches it."""
+    """An endpoint of the list and the address at which this relay reaches it."""
 
     entry: Entry
     address: Address
@@ -38,15 +39,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryUpdate:
-    """One piece of news: the whole list, or what changed."""
+    """One update from the directory: the whole list, or the endpoints that changed."""
 
     version: int
-    whole: bool
+    whole: bool  # whether endpoints that are not named have left the list
     endpoints: tuple[ListedEndpoint, ...]
 
 
 def parse_endpoint(raw: Any) -> ListedEndpoint | None:
-    """One host; one that cannot be read is left out, for the others' sake."""
+    """Parse one endpoint; a malformed one is logged and gives None, so that the others still count."""
     try:
         address, _, port = str(raw["dial"]).rpartition(":")
         entry = Entry(
@@ -58,27 +59,27 @@
             rate_hint=float(raw.get("share", 1.0)),
         )
         if not address or not 0 < int(port) < 65536:
-            raise ValueError(f"no address: {raw['dial']!r}")
+            raise ValueError(f"dial is not HOST:PORT with a port from 1 to 65535: {raw['dial']!r}")
         return ListedEndpoint(entry, (address, int(port)))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        LOG.warning("discovery: a host that cannot be read was left out: %r", error)
+        LOG.warning("discovery: malformed endpoint left out of the list: %r", error)
         return None
 
 
 def parse_list(raw: Any) -> DirectoryUpdate:
-    """A list in discovery's form; ``ValueError`` where it is none."""
+    """Parse a list in the directory's format; raises ``ValueError`` if it is not one."""
     try:
-        hosts = [parse_endpoint(item) for item in raw["hosts"]]
-        return DirectoryUpdate(int(raw["seq"]), bool(raw["whole"]), tuple(host for host in hosts if host))
+        endpoints = [parse_endpoint(item) for item in raw["hosts"]]
+        return DirectoryUpdate(int(raw["seq"]), bool(raw["whole"]), tuple(item for item in endpoints if item))
     except (KeyError, TypeError) as error:
         raise ValueError(f"not a list of hosts: {error!r}") from None
 
 
 class IncrementalListParser:
-    """One line of news, read by so many hosts at a time."""
+    """Parses one line with a list, a bounded number of endpoints at a time."""
 
     def __init__(self, line: bytes) -> None:
-        """``ValueError`` where the line is no text."""
+        """Raises ``ValueError`` if the line is not UTF-8."""
         self._text = line.decode()
         self._decode = json.JSONDecoder().raw_decode
         self._endpoints: list[ListedEndpoint] = []
@@ -87,62 +88,66 @@
         self._position = self._skip_whitespace(self._array_start)
         self._done = found is None or self._text[self._position : self._position + 1] == "]"
 
-    def parse(self, most: int) -> bool:
-        """Read up to so many hosts more; whether all are read. ``ValueError`` where the line is no list."""
-        for _ in range(most):
+    def parse(self, max_endpoints: int) -> bool:
+        """Parse up to so many more endpoints; return whether all are parsed.
+
+        Raises ``ValueError`` if the line is not a list.
+        """
+        for _ in range(max_endpoints):
             if self._done:
                 return True
             raw, end = self._decode(self._text, self._position)
-            if (host := parse_endpoint(raw)) is not None:
-                self._endpoints.append(host)
+            if (endpoint := parse_endpoint(raw)) is not None:
+                self._endpoints.append(endpoint)
             self._skip_separator(end)
         return self._done
 
     def finish(self) -> DirectoryUpdate:
-        """The list, once all hosts are read; ``ValueError`` where the line is no list.
+        """Return the list once all endpoints are parsed; raises ``ValueError`` if the line is not a list.
 
-        Where the hosts that were read are not the line's own, as its text is unlike any list seen so far,
-        the line is read in one go.
+        The parser starts at the first "hosts" array in the text. If that is not the array of the line's own
+        top-level object, the whole line is parsed in one go.
         """
         rest = json.loads(f"{self._text[: self._array_start]}{self._text[self._position :]}")
         if not isinstance(rest, dict) or rest.get("hosts") != []:
             return parse_list(json.loads(self._text))
         return replace(parse_list(rest), endpoints=tuple(self._endpoints))
 
-    def _skip_whitespace(self, at: int) -> int:
-        blank = WHITESPACE.match(self._text, at)
-        return blank.end() if blank else at
+    def _skip_whitespace(self, position: int) -> int:
+        """Return the position of the next character that is not white space."""
+        match = WHITESPACE.match(self._text, position)
+        return match.end() if match else position
 
-    def _skip_separator(self, at: int) -> None:
-        """Go on behind a host: to the next one, or to the end of the array."""
-        at = self._skip_whitespace(at)
-        separator = self._text[at : at + 1]
+    def _skip_separator(self, position: int) -> None:
+        """Move past the separator after an endpoint: to the next one, or to the end of the array."""
+        position = self._skip_whitespace(position)
+        separator = self._text[position : position + 1]
         if separator == ",":
-            self._position = self._skip_whitespace(at + 1)
+            self._position = self._skip_whitespace(position + 1)
         elif separator == "]":
-            self._position, self._done = at, True
+            self._position, self._done = position, True
         else:
-            raise ValueError(f"not a list of hosts: {separator!r} behind a host")
+            raise ValueError(f"not a list of hosts: neither ',' nor ']' but {separator!r} after a host")
 
 
-def ordered_changes(news: DirectoryUpdate, listed: Mapping[str, ListedEndpoint]) -> list[ListedEndpoint]:
-    """What the news comes to as changes of the present list, the most urgent first.
+def ordered_changes(update: DirectoryUpdate, listed: Mapping[str, ListedEndpoint]) -> list[ListedEndpoint]:
+    """Return an update as changes of the list ``listed``, by host, the most urgent first.
 
-    Of a host that is named twice the last word counts, as it would if they were applied in order.
+    If an endpoint is named twice, its last entry counts, as if the entries were applied in order.
     """
-    changes = {host.entry.host: host for host in news.endpoints}
-    if news.whole:
-        left = [known for name, known in listed.items() if name not in changes]
-        changes |= {known.entry.host: as_gone(known) for known in left}
+    changes = {endpoint.entry.host: endpoint for endpoint in update.endpoints}
+    if update.whole:
+        removed = [known for host, known in listed.items() if host not in changes]
+        changes |= {known.entry.host: as_gone(known) for known in removed}
     return sorted(changes.values(), key=lambda change: LISTING_PRIORITY.index(change.entry.listing))
 
 
 def as_gone(listed: ListedEndpoint) -> ListedEndpoint:
-    """The host as one that left the list."""
+    """Return the endpoint as one that has left the list."""
     return replace(listed, entry=replace(listed.entry, listing=Listing.GONE))
 
 
-def split_changes(changes: list[ListedEndpoint], most: int) -> Iterator[tuple[ListedEndpoint, ...]]:
-    """The changes in their order, so many at a time; one empty piece where there are none."""
-    for at in range(0, max(1, len(changes)), most):
-        yield tuple(changes[at : at + most])
+def split_changes(changes: list[ListedEndpoint], max_size: int) -> Iterator[tuple[ListedEndpoint, ...]]:
+    """Yield the changes in order in pieces of up to ``max_size``; one empty piece if there are none."""
+    for start in range(0, max(1, len(changes)), max_size):
+        yield tuple(changes[start : start + max_size])
