--- a/relay/discovery.py
+++ b/relay/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's side: the list of hosts, its watch, and the notices that end messages."""
+"""The platform's side of the relay: the watch on the endpoint list, and the notices that end messages."""
 
 from __future__ import annotations
 
@@ -15,49 +15,54 @@
 from relay.http import CONNECTION_ERRORS, Address, Connection
 
 LOG = logging.getLogger(__name__)
-HOSTS_PATH, NOTICES_PATH = "/discovery/hosts", "/v1/notices"
-FIRST_LIST_TIMEOUT_S = (
-    3.0  # s for a watch to come up and tell its first list; pieces of an answer or empty lines are none
-)
-SILENCE_TIMEOUT_S = (
-    3.0  # s without a whole line that break a watch: a cut network is silent, and one is due every 2 s
-)
-DEFAULT_MAX_LINE_BYTES = 1 << 20  # bytes of one line of a watch, however little memory there is
-LINE_MEMORY_SHARE = 1 / 40  # of the memory: a line; read, a host takes up to 21 times the bytes of its entry
-LONG_LINE_BYTES = 64 * 1024  # bytes of a line that is read and told piece by piece
-MIN_PROGRESS_BYTES = 64 * 1024  # bytes of a long line that have to come within ``QUIET_S``
-ENDPOINTS_PER_PIECE = 256  # hosts that are read, or told, without letting others run
-POST_S = (0.25, 1.0)  # s for the answer to a notice, which is given at once: at first, and at most
-NOTICE_WORKERS, MAX_NOTICES_PER_POST = (
-    3,
-    64,
-)  # posts out at once, so that a hanging one delays no other; lines in a post
-AGAIN_S = (0.02, 0.5)  # s before a post is repeated: at first, and at most
+HOSTS_PATH = "/discovery/hosts"
+NOTICES_PATH = "/v1/notices"
+# For a watch to connect and deliver its first list. Parts of an answer or empty lines do not count.
+FIRST_LIST_TIMEOUT_S = 3.0
+# Without a complete line, after which a watch is broken off: a cut network is silent, and the directory owes
+# a line every 2 s.
+SILENCE_TIMEOUT_S = 3.0
+DEFAULT_MAX_LINE_BYTES = 1 << 20  # of one line of a watch, allowed however small the memory limit is
+# Share of the memory limit that one line may take. A parsed endpoint takes up to 21 times the bytes of its
+# entry in the line.
+LINE_MEMORY_SHARE = 1 / 40
+LONG_LINE_BYTES = 64 * 1024  # a longer line is parsed and applied piece by piece
+MIN_PROGRESS_BYTES = 64 * 1024  # of a long line that have to arrive within SILENCE_TIMEOUT_S
+ENDPOINTS_PER_PIECE = 256  # parsed, or applied, before other tasks run
+# For the answer to a post of notices, which the platform gives at once. It doubles with each failure.
+FIRST_POST_TIMEOUT_S = 0.25
+MAX_POST_TIMEOUT_S = 1.0
+NOTICE_WORKERS = 3  # concurrent posts, so that one that hangs does not delay the others
+MAX_NOTICES_PER_POST = 64
+# Before a failed post is repeated. It doubles with each failure. The first time-out and the first delay
+# together stay under 300 ms, after which the platform takes a notice for overdue.
+FIRST_RETRY_DELAY_S = 0.02
+MAX_RETRY_DELAY_S = 0.5
 
 
 UpdateCallback = Callable[[DirectoryUpdate], None]
-PiecewiseUpdateCallback = Callable[
-    [DirectoryUpdate], Awaitable[None]
-]  # lets others run in between; over once all is in force
+# Lets other tasks run in between, and returns once the whole update is in force.
+PiecewiseUpdateCallback = Callable[[DirectoryUpdate], Awaitable[None]]
 
 
 def line_limit_for_memory(memory_bytes: int) -> int:
-    """The longest line of a watch that a relay with so much memory takes."""
+    """Return the maximum length in bytes of a watch's line for a relay with this memory limit."""
     return max(DEFAULT_MAX_LINE_BYTES, int(memory_bytes * LINE_MEMORY_SHARE))
 
 
 class LineBuffer:
-    """Bytes of a stream as whole lines; a line may come in any number of parts."""
+    """Splits a stream of bytes into lines; a line may arrive in any number of parts."""
 
-    def __init__(self, most: int) -> None:
-        self._max_line_bytes, self._partial_line = most, bytearray()
+    def __init__(self, max_line_bytes: int) -> None:
+        self._max_line_bytes = max_line_bytes
+        self._partial_line = bytearray()
 
     def __len__(self) -> int:
-        """Bytes of the line that is still coming."""
+        """Return the number of bytes of the incomplete line."""
         return len(self._partial_line)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that end here; ``ValueError`` where one is longer than is taken."""
+        """Return the lines that these bytes complete; raises ``ValueError`` if one is over the limit."""
         *lines, rest = data.split(b"\n")
         if lines:
             lines[0] = bytes(self._partial_line) + lines[0]
@@ -69,7 +74,10 @@
 
 
 class Watch:
-    """One watch on the list at a time; it tells its end once and comes back only when asked to."""
+    """One watch on the endpoint list at a time.
+
+    The end of a watch is reported once; another one starts only when ``subscribe`` is called.
+    """
 
     def __init__(
         self,
@@ -81,31 +89,35 @@
         failed: Callable[[], None],
         most_line: int = DEFAULT_MAX_LINE_BYTES,
     ) -> None:
-        self._address, self.version, self._on_update, self._on_end = address, seq, told, failed
-        self._on_long_update, self._max_line_bytes = told_in_pieces, most_line
+        self._address = address
+        self.version = seq  # of the list that is in force
+        self._on_update = told
+        self._on_end = failed
+        self._on_long_update = told_in_pieces
+        self._max_line_bytes = most_line
         self._task: asyncio.Task[None] | None = None
-        self._is_working = False  # whether it has told a list, or a long one is coming
-        self.open_connections = 0  # open ones
+        self._is_working = False  # whether a list has arrived, or a long one is arriving
+        self.open_connections = 0
 
     def subscribe(self) -> None:
-        """Start a watch; one that never answered is given up for it, one that works is kept."""
+        """Start a watch; it replaces one that has delivered nothing, and one that works is kept."""
         if self._task is not None and not self._task.done():
             if self._is_working:
                 return
             self._task.cancel()
         self._start()
 
-    def resume(self, seq: int) -> None:
-        """Watch on from the version that another process had."""
-        self.version = seq
+    def resume(self, version: int) -> None:
+        """Start a watch from the version that another process had."""
+        self.version = version
         self.subscribe()
 
     def move_to(self, address: Address) -> None:
-        """Watch at another address; the old one tells nothing new and will soon end its watch."""
+        """Watch at another address; the old one sends no more updates and will soon end its watch."""
         if address == self._address:
             return
         self._address = address
-        if self._task is not None:  # also between two watches: the new address need not wait for that
+        if self._task is not None:  # also between two watches: no need to wait for the next at a new address
             self._task.cancel()
             self._start()
 
@@ -120,122 +132,122 @@
 
     async def _run(self) -> None:
         connection: Connection | None = None
-        first_s = asyncio.get_running_loop().time() + FIRST_LIST_TIMEOUT_S
+        deadline_s = asyncio.get_running_loop().time() + FIRST_LIST_TIMEOUT_S
         try:
-            async with asyncio.timeout_at(first_s):
+            async with asyncio.timeout_at(deadline_s):
                 connection = await Connection.open(self._address)
                 self.open_connections += 1
                 target = f"{HOSTS_PATH}?watch=1&from={self.version}"
                 await connection.send(connection.build_request("GET", target, []))
                 answer = await connection.read_response()
             if answer.status_code != 200:
-                raise ConnectionError(f"status {answer.status_code}")
+                raise ConnectionError(f"the directory answered with status {answer.status_code}")
             LOG.info("discovery: watch answered, from version %d", self.version)
-            await self._read_lines(connection, first_s)
+            await self._read_lines(connection, deadline_s)
         except (*CONNECTION_ERRORS, TimeoutError, ValueError) as error:
             LOG.info("discovery: watch ended: %r", error)
         except Exception:
-            LOG.exception("discovery: watch broke")
+            LOG.exception("discovery: watch failed with an unexpected error")
         finally:
             if connection is not None:
                 self.open_connections -= 1
                 connection.close()
         self._on_end()
 
-    async def _read_lines(self, connection: Connection, by_s: float) -> None:
-        """Tell each line in order until the watch ends, falls silent or makes no sense.
+    async def _read_lines(self, connection: Connection, deadline_s: float) -> None:
+        """Apply each line in order until the watch ends, falls silent or sends something malformed.
 
-        Bytes that come one by one are silence until they make a line: whoever sends them tells nothing. Of a
-        line that takes longer, ``LEAST_PROGRESS`` bytes have to come each time.
+        Bytes that trickle in without completing a line count as silence, as they carry no update. A line that
+        takes longer has to grow by ``MIN_PROGRESS_BYTES`` within each ``SILENCE_TIMEOUT_S``.
         """
-        loop, buffer, counted = asyncio.get_running_loop(), LineBuffer(self._max_line_bytes), 0
+        loop, buffer, counted_bytes = asyncio.get_running_loop(), LineBuffer(self._max_line_bytes), 0
         while True:
-            async with asyncio.timeout_at(by_s):
+            async with asyncio.timeout_at(deadline_s):
                 event = await connection.next_event()
             if not isinstance(event, h11.Data):
-                raise ConnectionResetError("the watch was ended")
+                raise ConnectionResetError("the directory ended the watch")
             lines = buffer.feed(bytes(event.data))
             for line in lines:
                 if line.strip():
                     await self._handle_line(line)
-            counted = 0 if lines else counted
-            if progress := len(buffer) >= counted + MIN_PROGRESS_BYTES:
-                counted, self._is_working = len(buffer), True
+            counted_bytes = 0 if lines else counted_bytes
+            if progress := len(buffer) >= counted_bytes + MIN_PROGRESS_BYTES:
+                counted_bytes, self._is_working = len(buffer), True
             if self._is_working and (lines or progress):
-                by_s = loop.time() + SILENCE_TIMEOUT_S
+                deadline_s = loop.time() + SILENCE_TIMEOUT_S
 
     async def _handle_line(self, line: bytes) -> None:
-        """Read one line and tell it: a short one at once, a long one so that others run in between."""
+        """Parse and apply one line: a short one at once, a long one in pieces with other tasks in between."""
         if len(line) <= LONG_LINE_BYTES:
-            news = self._unless_stale(parse_list(json.loads(line)))
-            self.version = news.version
-            self._on_update(news)
+            update = self._unless_stale(parse_list(json.loads(line)))
+            self.version = update.version
+            self._on_update(update)
             return
         self._is_working = True
-        reader = IncrementalListParser(line)
-        while not reader.parse(ENDPOINTS_PER_PIECE):
+        parser = IncrementalListParser(line)
+        while not parser.parse(ENDPOINTS_PER_PIECE):
             await asyncio.sleep(0)
-        news = self._unless_stale(reader.finish())
-        await self._on_long_update(news)
-        self.version = (
-            news.version
-        )  # not before all is in force: a watch that ends in the middle asks for it again
-
-    def _unless_stale(self, news: DirectoryUpdate) -> DirectoryUpdate:
-        """The news, or none where they are older than what is held: applied, they would undo a drain."""
+        update = self._unless_stale(parser.finish())
+        await self._on_long_update(update)
+        # Only now is all of it in force: after a watch that ends in the middle, the next asks for it again.
+        self.version = update.version
+
+    def _unless_stale(self, update: DirectoryUpdate) -> DirectoryUpdate:
+        """Return the update, or an empty one if it is older than the list in force: it could undo a drain."""
         self._is_working = True
-        if news.version >= self.version:
-            return news
-        LOG.warning("discovery: version %d after %d left out", news.version, self.version)
+        if update.version >= self.version:
+            return update
+        LOG.warning("discovery: version %d ignored, version %d is in force", update.version, self.version)
         return DirectoryUpdate(self.version, False, ())
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of a message that was not delivered."""
+    """Tells the platform how a message ended that was not delivered."""
 
     ref: str
     result: str
     wait_ms: int = 0
 
     def encode(self) -> bytes:
-        """The notice as the platform reads it."""
-        told: dict[str, str | int] = {"ref": self.ref, "result": self.result}
+        """Return the notice as a line of JSON, as the platform expects it."""
+        fields: dict[str, str | int] = {"ref": self.ref, "result": self.result}
         if self.wait_ms > 0:
-            told["wait_ms"] = self.wait_ms
-        return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+            fields["wait_ms"] = self.wait_ms
+        return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 class NoticeSender:
-    """Posts each notice until the platform confirms it; it is answered also while discovery is down."""
+    """Posts each notice until the platform confirms it, which it does also while discovery is down."""
 
-    def __init__(self, address: Address, confirmed: Callable[[str], None]) -> None:
-        self._address, self._on_confirmed = address, confirmed
+    def __init__(self, address: Address, on_confirmed: Callable[[str], None]) -> None:
+        self._address = address
+        self._on_confirmed = on_confirmed
         self._queue: asyncio.Queue[Notice] = asyncio.Queue()
         self._tasks: list[asyncio.Task[None]] = []
         self.unconfirmed = 0
-        self.open_connections = 0  # open ones
+        self.open_connections = 0
 
     def start(self) -> None:
-        """Begin to post."""
+        """Start the workers that post."""
         self._tasks = [asyncio.create_task(self._post_until_confirmed()) for _ in range(NOTICE_WORKERS)]
 
     def send(self, notice: Notice) -> None:
-        """Post it as soon as may be."""
+        """Queue a notice for the next free worker."""
         self.unconfirmed += 1
         self._queue.put_nowait(notice)
 
     def move_to(self, address: Address) -> None:
-        """Post to another address from now on, also what is being tried again."""
+        """Post to another address from now on, including notices that are being retried."""
         self._address = address
 
     def close(self) -> None:
-        """Stop; what is not confirmed stays in the journal."""
+        """Stop; notices that are not confirmed stay in the journal."""
         for task in self._tasks:
             task.cancel()
 
     def _close_connection(self, connection: Connection | None) -> None:
-        """Close a connection, where there is one."""
+        """Close a connection if there is one."""
         if connection is not None:
             self.open_connections -= 1
             connection.close()
@@ -248,24 +260,29 @@
             with suppress(asyncio.QueueEmpty):
                 while len(batch) < MAX_NOTICES_PER_POST:
                     batch.append(self._queue.get_nowait())
-            again_s, post_s = AGAIN_S[0], POST_S[0]
+            retry_delay_s, timeout_s = FIRST_RETRY_DELAY_S, FIRST_POST_TIMEOUT_S
             while batch:
                 if address != self._address:
                     self._close_connection(connection)
                     connection, address = None, self._address
-                connection, status = await self._post(connection, batch, post_s)
+                connection, status = await self._post(connection, batch, timeout_s)
                 if status == 204:
                     self._confirm(batch)
                     batch = []
-                elif status == 400 and len(batch) > 1:  # one bad line must not hold up the others
+                elif status == 400 and len(batch) > 1:  # one malformed line must not hold up the others
                     for notice in batch[1:]:
                         self._queue.put_nowait(notice)
                     batch = batch[:1]
                 else:
                     if status == 400:
-                        LOG.error("notice for %s was not understood", batch[0].ref)
-                    await asyncio.sleep(again_s)
-                    again_s, post_s = min(2 * again_s, AGAIN_S[1]), min(2 * post_s, POST_S[1])
+                        LOG.error(
+                            "notices: the platform rejected the notice for %s with status 400", batch[0].ref
+                        )
+                    await asyncio.sleep(retry_delay_s)
+                    retry_delay_s, timeout_s = (
+                        min(2 * retry_delay_s, MAX_RETRY_DELAY_S),
+                        min(2 * timeout_s, MAX_POST_TIMEOUT_S),
+                    )
 
     def _confirm(self, batch: list[Notice]) -> None:
         for notice in batch:
@@ -273,11 +290,11 @@
             self._on_confirmed(notice.ref)
 
     async def _post(
-        self, connection: Connection | None, batch: list[Notice], post_s: float
+        self, connection: Connection | None, batch: list[Notice], timeout_s: float
     ) -> tuple[Connection | None, int]:
-        """One post; the connection if it can serve again, and the status (0: none came)."""
+        """Post once; return the connection if it can be reused, and the status (0 without an answer)."""
         try:
-            async with asyncio.timeout(post_s):
+            async with asyncio.timeout(timeout_s):
                 if connection is None or not connection.is_quiet():
                     self._close_connection(connection)
                     connection = None
@@ -290,10 +307,10 @@
             if connection.prepare_reuse():
                 return connection, status
         except (*CONNECTION_ERRORS, TimeoutError) as error:
-            LOG.info("notices: post of %d failed: %r", len(batch), error)
+            LOG.info("notices: post of %d notices failed: %r", len(batch), error)
             status = 0
-        except Exception:  # a worker that dies would hold back every later notice
-            LOG.exception("notices: post broke")
+        except Exception:  # a worker that dies would hold back later notices
+            LOG.exception("notices: post failed with an unexpected error")
             status = 0
         self._close_connection(connection)
         return None, status
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -379,5 +379,5 @@
 def test_silences_end_within_what_the_rules_allow() -> None:
     """A notice is overdue after 300 ms; a change counts as told after 6 s; a watch has a line every 2 s."""
     asked_again_s = 0.65 + 0.5  # the module's first gap at most, and a slow answer
-    assert discovery.POST_S[0] + discovery.AGAIN_S[0] < 0.3
+    assert discovery.FIRST_POST_TIMEOUT_S + discovery.FIRST_RETRY_DELAY_S < 0.3
     assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - asked_again_s
