--- a/relay/__init__.py
+++ b/relay/__init__.py
@@ -1,1 +1,1 @@
-"""relay: the decision module of ``decisions`` as one real relay on real sockets."""
+"""The relay as a network service: runs the decision module of ``decisions`` on real sockets."""
