--- a/relay/endpoint_calls.py
+++ b/relay/endpoint_calls.py
@@ -1,7 +1,8 @@
-"""Calls to hosts: their connections, time-outs and ends, and how they pass to another process.
+"""Calls to endpoints: their connections, time-outs and outcomes, and their handover to another process.
 
-Every part of a call is settled exactly once. Whether the last byte of a request went to the kernel decides
-between "never ran" and "may have run", so nothing here writes a request twice.
+Each part of a call is settled exactly once; only an answer that ends its message is still reported after a
+time-out. Whether the last byte of a request went to the kernel decides between "never ran" and "may have
+run", so nothing here writes a request twice.
 """
 
 from __future__ import annotations
@@ -42,58 +43,56 @@
 from relay.idle_connections import IdleConnections
 
 LOG = logging.getLogger(__name__)
-MAX_REMEMBERED_HOSTS = 4096  # hosts that are remembered, so that operators may name one that left
-MAX_ROUTE_WAITS = 1024  # routes with a wait, above which those that are over are dropped
+MAX_REMEMBERED_HOSTS = 4096  # so that operators may still name an endpoint that has left the list
+MAX_ROUTE_WAITS = 1024  # above so many, waits that are over are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class CallsHandover:
-    """What another process needs to go on with the list, the calls and the connections."""
+    """What another process needs to continue with the list, the calls and the connections."""
 
-    endpoints: dict[str, ListedEndpoint]
-    calls: list[tuple[Call, bytes | None]]  # each with its answer so far; None: it was not written whole
-    idle_connections: list[tuple[str, float]]  # idle connections: host, and monotonic time since when
+    endpoints: dict[str, ListedEndpoint]  # by host
+    calls: list[tuple[Call, bytes | None]]  # each with its answer so far; None: not fully written
+    idle_connections: list[tuple[str, float]]  # host, and the monotonic time since which it is idle
 
 
 SettledCallback = Callable[[Call, Part, PartOutcome], None]
 
 
 class EndpointCalls:
-    """The hosts that the list names, the calls out to them, and connections kept between calls."""
+    """The listed endpoints, the outgoing calls to them, and the connections kept between calls."""
 
     def __init__(
         self,
         kinds: Iterable[DestinationKind],
         keepalive_us: int,
-        connect_us: int,
-        most_idle: int,
-        settled: SettledCallback,
+        connect_timeout_us: int,
+        max_idle: int,
+        on_settled: SettledCallback,
     ) -> None:
-        # Kept, as whoever asks for the running loop asks the system for the process each time.
+        # Kept because asyncio.get_running_loop() makes a system call for the process id each time.
         self._loop = asyncio.get_running_loop()
         self._kinds = {kind.name: kind for kind in kinds}
-        self._connect_timeout_s, self._on_settled = connect_us / 1e6, settled
-        self.connection_counts: Counter[str] = Counter()  # what became of connections, for the people on call
-        self._idle_pool = IdleConnections(keepalive_us, most_idle, self.connection_counts)
-        self.endpoints: dict[str, ListedEndpoint] = {}
-        self.remembered_hosts: dict[
-            str, None
-        ] = {}  # the hosts that lists have named, the latest of them last
-        self._banned: set[str] = set()  # by operators
-        self.written_messages = 0  # messages whose calls were written whole
-        self._waits_until_s: dict[
-            str, float
-        ] = {}  # by route: the loop's time until which it is to be left alone
+        self._connect_timeout_s = connect_timeout_us / 1e6
+        self._on_settled = on_settled
+        self.connection_counts: Counter[str] = Counter()  # what became of connections, for the status log
+        self._idle_pool = IdleConnections(keepalive_us, max_idle, self.connection_counts)
+        self.endpoints: dict[str, ListedEndpoint] = {}  # by host
+        self.remembered_hosts: dict[str, None] = {}  # hosts that lists have named, the latest of them last
+        self._banned: set[str] = set()  # hosts, by operators
+        self.written_messages = 0  # messages whose calls were fully written
+        # By route: the monotonic time before which the route must not be called.
+        self._waits_until_s: dict[str, float] = {}
         self.calls: set[Call] = set()
 
-    def apply_update(self, news: DirectoryUpdate) -> None:
-        """Follow the list at once: what drains or goes gets no call that is still to be written."""
-        if news.whole:
-            gone = self.endpoints.keys() - {listed.entry.host for listed in news.endpoints}
-            for host in gone:
+    def apply_update(self, update: DirectoryUpdate) -> None:
+        """Apply an update of the list at once: an endpoint that drains or leaves gets no further request."""
+        if update.whole:
+            removed = self.endpoints.keys() - {listed.entry.host for listed in update.endpoints}
+            for host in removed:
                 del self.endpoints[host]
                 self.close_idle(host)
-        for listed in news.endpoints:
+        for listed in update.endpoints:
             host = listed.entry.host
             self._remember(host)
             known = self.endpoints.get(host)
@@ -111,25 +110,25 @@
             del self.remembered_hosts[next(iter(self.remembered_hosts))]
 
     def is_known(self, host: str) -> bool:
-        """Whether the list names the host, or named it not too long ago."""
+        """Return whether the list names the host, or did so recently (``MAX_REMEMBERED_HOSTS``)."""
         return host in self.endpoints or host in self.remembered_hosts
 
     def set_banned(self, host: str, banned: bool) -> None:
-        """Follow an operator at once, as the list is followed."""
+        """Apply an operator's ban, or its end, at once."""
         (self._banned.add if banned else self._banned.discard)(host)
         self.close_idle(host)
 
     def _accepts_calls(self, host: str) -> bool:
-        """Whether the list and the operators let the host be called."""
+        """Return whether the host is listed as ready and not banned by an operator."""
         listed = self.endpoints.get(host)
         return listed is not None and listed.entry.listing is Listing.READY and host not in self._banned
 
     def zone_of(self, host: str) -> str:
-        """The zone of a host."""
+        """Return the zone of a host, or "" if it is not listed."""
         return self.endpoints[host].entry.zone if host in self.endpoints else ""
 
     def _route_of(self, host: str) -> str:
-        """What shares waits with a host: its destination, unless its kind's endpoints are routes apart."""
+        """Return the key for waits: the destination, or the host itself if its kind limits each endpoint."""
         listed = self.endpoints.get(host)
         apart = listed is None or self._kind_of(listed).limit_per_endpoint
         return host if listed is None or apart else f"dest {listed.entry.dest}"
@@ -138,124 +137,126 @@
         return self._kinds.get(listed.entry.kind, DestinationKind(listed.entry.kind))
 
     def max_batch(self, host: str) -> int:
-        """How many messages a call to the host may carry."""
+        """Return how many messages a call to the host may carry."""
         listed = self.endpoints.get(host)
         return 1 if listed is None else self._kind_of(listed).batch_size
 
     @property
     def active_waits(self) -> dict[str, float]:
-        """By route: the monotonic time until which it is to be left alone."""
+        """By route: the monotonic time before which it must not be called, where that is not over."""
         return {
             route: until_s for route, until_s in self._waits_until_s.items() if until_s > time.monotonic()
         }
 
     def restore_waits(self, waits: dict[str, float]) -> None:
-        """Keep the waits that another process was told."""
+        """Add the waits that another process was asked to keep."""
         for route, until_s in waits.items():
             self._waits_until_s[route] = max(self._waits_until_s.get(route, 0.0), until_s)
 
     def remaining_wait_us(self, host: str) -> int:
-        """How long the host is still to be left alone."""
+        """Return how long the host must not be called yet; 0 if it may be called."""
         return max(0, int((self._waits_until_s.get(self._route_of(host), 0.0) - time.monotonic()) * 1e6))
 
     @property
     def busy_count(self) -> int:
-        """Connections that carry a call."""
+        """The number of connections that carry a call."""
         return sum(call.connection is not None for call in self.calls)
 
     @property
     def idle_count(self) -> int:
-        """Connections that are kept for the next call."""
+        """The number of connections that are kept for later calls."""
         return len(self._idle_pool)
 
     def outcome_if_blocked(self, host: str) -> PartOutcome | None:
-        """Why nothing may be written there now: decided before, a call must still obey newer news."""
+        """Return the outcome of a call that may not be written to the host now, or None if it may.
+
+        Waits and list updates that arrived after the call was decided bind it too.
+        """
         wait_us = self.remaining_wait_us(host)
         if wait_us or not self._accepts_calls(host):
             return PartOutcome(Verdict.NOT_SENT, wait_us=wait_us)
         return None
 
     def send(self, call: Call) -> None:
-        """Start one call; each part is settled when its message's time is up at the latest."""
+        """Start one call; each part is settled by its message's deadline at the latest."""
         self._start(call, self._exchange, time.monotonic())
 
-    def _start(self, call: Call, exchange: Callable[[Call], Awaitable[bool]], since_s: float) -> None:
+    def _start(self, call: Call, exchange: Callable[[Call], Awaitable[bool]], started_s: float) -> None:
         loop = self._loop
         self.calls.add(call)
         if not call.fully_written:
             self._schedule_window_end(call)
         for part in call.open_parts:
             if part.overdue:
-                until_s = since_s + max(part.limit_us, part.time_left_us) / 1e6
-                part.timer = loop.call_at(until_s, self._on_deadline, call)
+                deadline_s = started_s + max(part.limit_us, part.time_left_us) / 1e6
+                part.timer = loop.call_at(deadline_s, self._on_deadline, call)
             else:
-                part.timer = loop.call_at(since_s + part.limit_us / 1e6, self._on_limit_passed, call, part)
+                part.timer = loop.call_at(started_s + part.limit_us / 1e6, self._on_limit_passed, call, part)
         call.task = loop.create_task(self._run(call, exchange))
 
-    def hand_over(self, room: int) -> tuple[CallsHandover, list[int]]:
-        """What another process takes over, and the descriptors of its calls and then of its connections.
+    def hand_over(self, max_descriptors: int) -> tuple[CallsHandover, list[int]]:
+        """Return what another process takes over, and its descriptors: calls first, then idle connections.
 
-        Idle connections go over only within ``room`` descriptors: for a moment both processes hold them.
+        Idle connections are included only within ``max_descriptors``: for a moment both processes hold them.
         """
         calls, fds = list[tuple[Call, bytes | None]](), list[int]()
         for call in self.calls:
-            if not call.open_parts:  # only the rest of its answer is out
+            if not call.open_parts:  # settled; only the rest of its answer is missing
                 continue
-            parts = {id(part): replace(part, timer=None) for part in call.parts}
-            carried = [parts[id(part)] for part in call.request_parts]
+            copies = {id(part): replace(part, timer=None) for part in call.parts}
+            request_parts = [copies[id(part)] for part in call.request_parts]
             copy = Call(
                 call.host,
-                list(parts.values()),
+                list(copies.values()),
                 call.sent_at_s,
-                request_parts=carried,
+                request_parts=request_parts,
                 connection_idle_ms=call.connection_idle_ms,
             )
-            came = None
+            received = None
             if call.connection is not None and call.fully_written:
-                came = bytes(call.connection.received)
+                received = bytes(call.connection.received)
                 call.connection.shared_with_successor = True
                 fds.append(call.connection.sock.fileno())
-            calls.append((copy, came))
+            calls.append((copy, received))
             LOG.info(
                 "handover: call to %s with %s given after %d ms, connection %s, %s",
                 call.host, call.attempts_text, call.age_ms, call.connection_description,
-                "not written whole" if came is None else f"{len(came)} bytes of its answer read",
+                "not written whole" if received is None else f"{len(received)} bytes of its answer read",
             )  # fmt: skip
-        idle = list(islice(self._idle_pool, max(0, room - len(fds))))
+        idle = list(islice(self._idle_pool, max(0, max_descriptors - len(fds))))
         fds += [connection.sock.fileno() for _, connection in idle]
         return CallsHandover(
             self.endpoints, calls, [(host, connection.idle_since_s) for host, connection in idle]
         ), fds
 
-    def take_over(self, left: CallsHandover, socks: Iterator[socket.socket]) -> None:
-        """Go on with what another process left."""
-        self.endpoints = left.endpoints
-        for call, came in left.calls:
-            if came is None:
+    def take_over(self, handover: CallsHandover, socks: Iterator[socket.socket]) -> None:
+        """Continue with what another process handed over; its sockets come in the order of ``hand_over``."""
+        self.endpoints = handover.endpoints
+        for call, received in handover.calls:
+            if received is None:
                 for part in call.open_parts:
                     self._settle(call, part, PartOutcome(Verdict.NOT_SENT))
                 continue
             call.connection = Connection(next(socks), self._address_of(call.host))
             call.connection.local_port = local_port_of(call.connection.sock)
-            build_call_request(
-                call.connection, call.request_parts
-            )  # its bytes are out; the answer is read as theirs
-            call.connection.resume_answer(came)
+            # The request was sent by the other process: composing it only prepares h11 for its answer.
+            build_call_request(call.connection, call.request_parts)
+            call.connection.resume_answer(received)
             LOG.info(
                 "handover: call to %s with %s taken over after %d ms, connection %s",
                 call.host, call.attempts_text, call.age_ms, call.connection_description,
             )  # fmt: skip
             self._start(call, self._read_answer, call.sent_at_s)
-        for host, kept_s in left.idle_connections:
+        for host, idle_since_s in handover.idle_connections:
             connection = Connection(next(socks), self._address_of(host))
-            self._idle_pool.put(host, connection, kept_s)
+            self._idle_pool.put(host, connection, idle_since_s)
 
     def _address_of(self, host: str) -> Address:
-        """Where a host is reached; of one that left the list only connections are left, which need none."""
+        """Return the address of a host; one that left the list is not connected to again and has none."""
         return self.endpoints[host].address if host in self.endpoints else ("", 0)
 
     def cancel(self, ref: str, attempt: int) -> None:
-        """Call one attempt off."""
+        """Call off one attempt of a message."""
         for call in list(self.calls):
             for part in call.open_parts:
                 if (part.id, part.attempt) == (ref, attempt):
@@ -269,29 +270,30 @@
                     self._after_pending_answer(call, self._end_part, call, part, Verdict.CANCELLED)
 
     def close_idle(self, host: str) -> None:
-        """Close the connections to a host that carry no call."""
+        """Close the idle connections to a host."""
         self._idle_pool.close_host(host)
 
     def close(self) -> None:
-        """Give up everything, silently: what is out stays in the journal as it stands."""
+        """Drop all calls and connections without reporting outcomes; the journal stays as it is."""
         for call in list(self.calls):
             for part in call.open_parts:
                 self._settle(call, part, None)
             self._end_call(call)
         self._idle_pool.close_all()
 
-    def _settle(self, call: Call, part: Part, told: PartOutcome | None) -> None:
+    def _settle(self, call: Call, part: Part, outcome: PartOutcome | None) -> None:
         part.settled = True
         if part.timer is not None:
             part.timer.cancel()
-        if told is not None:
-            self._on_settled(call, part, told)
+        if outcome is not None:
+            self._on_settled(call, part, outcome)
 
     def _after_pending_answer(self, call: Call, end: Callable[..., None], *args: Any) -> None:
-        """End something of a call, but not before an answer that has come and was not looked at yet.
+        """Call ``end`` with ``args``, after an answer that has arrived and is not processed yet.
 
-        Both may come up in one turn of the loop. Given up then, a message that was delivered would be told as
-        timed out, and a wait that was told would not be kept. Once only: an answer may come without end.
+        A timer and an answer may fall into one iteration of the loop. If the call were given up then, a
+        delivered message would be reported as timed out, and a requested wait would not be kept. It is put
+        off by one iteration only, as an answer may go on for ever.
         """
         if call.connection is not None and call.connection.read_pending():
             self._loop.call_soon(end, *args)
@@ -299,14 +301,14 @@
             end(*args)
 
     def _on_limit_passed(self, call: Call, part: Part) -> None:
-        """A part's limit has passed."""
+        """Handle the end of a part's limit."""
         self._after_pending_answer(call, self._handle_overdue_part, call, part)
 
     def _handle_overdue_part(self, call: Call, part: Part) -> None:
-        """It ends with the call, or before while the call's request is not fixed.
+        """Time out a part whose limit has passed: with its call, or alone while the request is not fixed.
 
-        While the call is out for the sake of others the message is out too: told as timed out it would be
-        sent again beside itself, and ended it would still run. Once its own time is up the call ends.
+        While the call is in progress for other parts, this message is in progress too. Reported as timed out,
+        it would be sent again in parallel; ended, it could still run. At its own deadline the call ends.
         """
         if part.settled:
             return
@@ -316,18 +318,19 @@
         elif all(other.overdue for other in call.open_parts):
             self._time_out_call(call)
         else:
-            more_s = max(0, part.time_left_us - part.limit_us) / 1e6
-            part.timer = self._loop.call_later(more_s, self._on_deadline, call)
+            remaining_s = max(0, part.time_left_us - part.limit_us) / 1e6
+            part.timer = self._loop.call_later(remaining_s, self._on_deadline, call)
 
     def _schedule_window_end(self, call: Call) -> None:
-        """Look again when the first of its messages may no longer begin."""
-        by_s = min((part.send_by_s for part in call.open_parts), default=math.inf)
-        call.window_timer = self._loop.call_at(by_s, self._on_window_end, call) if by_s < math.inf else None
+        """Set the timer for the moment at which the first of the call's messages may no longer begin."""
+        end_s = min((part.send_by_s for part in call.open_parts), default=math.inf)
+        call.window_timer = self._loop.call_at(end_s, self._on_window_end, call) if end_s < math.inf else None
 
     def _on_window_end(self, call: Call) -> None:
-        """Leave out what may no longer begin while the last byte is not out: that never runs.
+        """Settle what may no longer begin as not sent, if the last byte of the request is not sent yet.
 
-        It goes alone until the request is fixed: written with the rest it would run.
+        Before the request is fixed only the affected parts are left out. After that all parts are settled and
+        the call ends: if the request were completed, the affected messages would run too.
         """
         if call.fully_written:
             return
@@ -341,34 +344,35 @@
             self._end_call(call)
 
     def _on_deadline(self, call: Call) -> None:
-        """The time of one of its messages is up."""
+        """Handle the deadline of one of the call's messages."""
         self._after_pending_answer(call, self._time_out_call, call)
 
     def _time_out_call(self, call: Call) -> None:
-        """Wait for the call no longer: it is over for all that it carries, and its connection is closed."""
+        """Give up the call: all its open parts are timed out, and its connection is closed."""
         for part in call.open_parts:
-            self._end_part(call, part, Verdict.TIMEOUT, whole=True)
+            self._end_part(call, part, Verdict.TIMEOUT, all_parts=True)
 
-    def _end_part(self, call: Call, part: Part, verdict: Verdict, whole: bool = False) -> None:
-        """End one part before its answer; with the last one, or all at once, the connection is closed."""
+    def _end_part(self, call: Call, part: Part, verdict: Verdict, all_parts: bool = False) -> None:
+        """End one part without an answer; with the last one, or ``all_parts``, the connection is closed."""
         if part.settled:
             return
-        last = whole or len(call.open_parts) == 1
-        ran = call.fully_written if last else call.request_fixed  # it may yet be written for the others' sake
-        if last:
+        ends_call = all_parts or len(call.open_parts) == 1
+        # While the call goes on for other parts, a fixed request may still be written in full.
+        may_have_run = call.fully_written if ends_call else call.request_fixed
+        if ends_call:
             self._end_call(call)
-        if call.known_delivered:  # its first line came, the rest did not
-            LOG.info("hosts: %s is delivered by its first line alone: %s", part.id, verdict.value)
+        if call.known_delivered:  # its status line arrived, the rest did not
+            LOG.info("hosts: %s was delivered: status 200, then no whole answer: %s", part.id, verdict.value)
             self._settle(call, part, PartOutcome(Verdict.OK, complete=True))
         elif call.head_outcome is not None:
             self._settle(call, part, call.head_outcome)
         else:
-            self._settle(call, part, PartOutcome(verdict if ran else Verdict.CONNECT_FAILED))
+            self._settle(call, part, PartOutcome(verdict if may_have_run else Verdict.CONNECT_FAILED))
 
     def _end_call(self, call: Call) -> None:
-        """Close a call's connection before anybody is told of its end, who may send its messages again.
+        """Close a call's connection before its end is reported, after which its messages may be sent again.
 
-        Left to the task's own end that would come late, and not at all where the task has not begun yet.
+        The task's own end would close it too late, and not at all if the task has not started yet.
         """
         self.calls.discard(call)
         if call.connection is not None:
@@ -379,16 +383,16 @@
             call.task.cancel()
 
     async def _run(self, call: Call, exchange: Callable[[Call], Awaitable[bool]]) -> None:
-        """Connect, write, read: every way out settles what is open and leaves no connection behind."""
-        told, keep = PartOutcome(Verdict.RESET), False
+        """Run a call; however it ends, its open parts are settled and no unused connection stays open."""
+        outcome, keep = PartOutcome(Verdict.RESET), False
         try:
             keep = await exchange(call)
         except (*CONNECTION_ERRORS, TimeoutError) as error:
-            LOG.info("hosts: call to %s with %s broke: %r", call.host, call.parts[0].id, error)
-            told = outcome_without_answer(call, error)
+            LOG.info("hosts: call to %s with %s failed: %r", call.host, call.parts[0].id, error)
+            outcome = outcome_without_answer(call, error)
         except Exception as error:
-            LOG.exception("hosts: call to %s broke", call.host)
-            told = outcome_without_answer(call, error)
+            LOG.exception("hosts: call to %s failed with an unexpected error", call.host)
+            outcome = outcome_without_answer(call, error)
         finally:
             if call.connection is not None and not keep:
                 call.connection.close()
@@ -396,19 +400,19 @@
                 call.window_timer.cancel()
             self.calls.discard(call)
             for part in call.open_parts:
-                self._settle(call, part, told)
+                self._settle(call, part, outcome)
 
     async def _exchange(self, call: Call) -> bool:
-        """The whole call; whether its connection can serve again."""
+        """Connect, write the request and read the answer; return whether the connection was kept."""
         connection = self._idle_pool.take(call.host) or await self._connect(call.host)
         call.connection = connection
         if connection.idle_since_s:
             call.connection_idle_ms = int((time.monotonic() - connection.idle_since_s) * 1000)
-        # Connecting takes time, in which a wait or a drain may have been told: it binds this write too.
-        barred, now_s = self.outcome_if_blocked(call.host), self._loop.time()
+        # While it connected, a wait or a drain may have been announced: it binds this write too.
+        blocked, now_s = self.outcome_if_blocked(call.host), self._loop.time()
         for part in call.open_parts:
-            if barred is not None or part.send_by_s <= now_s:
-                self._settle(call, part, barred or PartOutcome(Verdict.NOT_SENT))
+            if blocked is not None or part.send_by_s <= now_s:
+                self._settle(call, part, blocked or PartOutcome(Verdict.NOT_SENT))
         parts = call.open_parts
         if not parts:
             return self._keep_connection(call.host, connection)
@@ -418,15 +422,15 @@
         return await self._read_answer(call)
 
     async def _read_answer(self, call: Call) -> bool:
-        """The answer to a call that is out; whether its connection can serve again."""
+        """Read the answer to a call that was sent, and settle it; return whether the connection was kept."""
         connection, parts = call.connection, call.request_parts
         assert connection is not None
         answer = await connection.read_response()
         wait_us, report = parse_wait_us(answer), parse_load_report(answer)
         if wait_us:
             route = self._route_of(call.host)
-            until = time.monotonic() + wait_us / 1e6
-            self._waits_until_s[route] = max(self._waits_until_s.get(route, 0.0), until)
+            until_s = time.monotonic() + wait_us / 1e6
+            self._waits_until_s[route] = max(self._waits_until_s.get(route, 0.0), until_s)
             if len(self._waits_until_s) > MAX_ROUTE_WAITS:
                 self._waits_until_s = self.active_waits
         if len(parts) > 1 and answer.status_code == STATUS_DELIVERED:
@@ -434,40 +438,40 @@
             return self._keep_connection(call.host, connection)
         verdict = verdict_of(answer, call.connection_idle_ms is None)
         complete = answer.status_code in (STATUS_DELIVERED, STATUS_OVER)
-        told = PartOutcome(
+        outcome = PartOutcome(
             verdict, complete, wait_us, report, connection_limit_reached=verdict is Verdict.CONNECT_FAILED
         )
         if complete:
-            return await self._settle_final(call, connection, told)
-        return await self._settle_retryable(call, connection, told)
+            return await self._settle_final(call, connection, outcome)
+        return await self._settle_retryable(call, connection, outcome)
 
-    async def _settle_final(self, call: Call, connection: Connection, told: PartOutcome) -> bool:
-        """Nothing more is owed, so the head of the answer is enough; the rest is waited for afterwards."""
-        # What is told may send the next message there at once: it should find this connection.
+    async def _settle_final(self, call: Call, connection: Connection, outcome: PartOutcome) -> bool:
+        """Settle messages that will not be sent again by the head of the answer; read the rest afterwards."""
+        # Once this is reported, the next message may be sent to the host and should find the connection.
         try:
-            whole = connection.skip_rest()
-            keep = whole and self._keep_connection(call.host, connection)
+            is_complete = connection.skip_rest()
+            keep = is_complete and self._keep_connection(call.host, connection)
         finally:
             for part in call.request_parts:
-                self._settle_answered(call, part, told)
-        if whole:
+                self._settle_answered(call, part, outcome)
+        if is_complete:
             return keep
         await asyncio.wait_for(connection.read_body(MAX_ANSWER_BYTES), self._connect_timeout_s)
         return self._keep_connection(call.host, connection)
 
-    async def _settle_retryable(self, call: Call, connection: Connection, told: PartOutcome) -> bool:
-        """These may be sent again, so the call has to be over first: its answer is whole, or it is closed."""
-        call.head_outcome = told
+    async def _settle_retryable(self, call: Call, connection: Connection, outcome: PartOutcome) -> bool:
+        """Settle messages that may be sent again, once the call is over: fully answered, or closed."""
+        call.head_outcome = outcome
         keep = await self._read_rest(connection) and self._keep_connection(call.host, connection)
         if not keep:
             connection.close()
         for part in call.request_parts:
-            self._settle_answered(call, part, told)
+            self._settle_answered(call, part, outcome)
         return keep
 
     @staticmethod
     async def _read_rest(connection: Connection) -> bool:
-        """Whether the rest of an answer comes shortly and can be read."""
+        """Return whether the rest of an answer arrives within ``ANSWER_REST_TIMEOUT_S`` and is readable."""
         try:
             if not connection.skip_rest():
                 async with asyncio.timeout(ANSWER_REST_TIMEOUT_S):
@@ -480,24 +484,25 @@
     def _settle_batch(
         self, call: Call, parts: list[Part], body: bytes, wait_us: int, report: dict[str, float]
     ) -> None:
-        """Each message's own end; one that the answer does not name may have run."""
-        ends = parse_batch_ends(body)
+        """Settle each message by its line in a batch's answer; one that has no line may have run."""
+        results = parse_batch_ends(body)
         for part in parts:
-            word = ends.get(part.id, "")
-            told = PartOutcome(
-                BATCH_VERDICTS.get(word, Verdict.ERROR), word in ("delivered", "over"), wait_us, report
+            result = results.get(part.id, "")
+            outcome = PartOutcome(
+                BATCH_VERDICTS.get(result, Verdict.ERROR), result in ("delivered", "over"), wait_us, report
             )
-            self._settle_answered(call, part, told)
+            self._settle_answered(call, part, outcome)
 
-    def _settle_answered(self, call: Call, part: Part, told: PartOutcome) -> None:
-        """Settle a part; where its own time ran out within the call, only a final end is still news."""
-        if not part.settled or told.complete:
-            self._settle(call, part, told)
+    def _settle_answered(self, call: Call, part: Part, outcome: PartOutcome) -> None:
+        """Settle an answered part; one that has timed out meanwhile is reported again only if it is over."""
+        if not part.settled or outcome.complete:
+            self._settle(call, part, outcome)
 
     async def _connect(self, host: str) -> Connection:
+        """Connect to a host; if descriptors run out, close the oldest idle connection and try once more."""
         listed = self.endpoints.get(host)
         if listed is None:
-            raise ConnectionError("no longer listed")
+            raise ConnectionError("the host is no longer listed")
         self.connection_counts["opened"] += 1
         try:
             return await asyncio.wait_for(Connection.open(listed.address), self._connect_timeout_s)
@@ -507,7 +512,7 @@
         return await asyncio.wait_for(Connection.open(listed.address), self._connect_timeout_s)
 
     def _keep_connection(self, host: str, connection: Connection) -> bool:
-        """Keep a connection for the next call, watched for the host's end, closed before its keep-alive."""
+        """Keep a connection for the next call if it can be reused; return whether it is kept."""
         if not self._accepts_calls(host) or not connection.prepare_reuse():
             self.connection_counts["not reusable"] += 1
             return False
