--- a/fleetlab/scale/watching.py
+++ b/fleetlab/scale/watching.py
@@ -51,10 +51,10 @@
         self.watch = Watch(
             address,
             version,
-            told=self._told,
-            told_in_pieces=self._told_long,
-            failed=self._failed,
-            most_line=line_limit_for_memory(RELAY_MEMORY_BYTES),
+            on_update=self._told,
+            on_long_update=self._told_long,
+            on_end=self._failed,
+            max_line_bytes=line_limit_for_memory(RELAY_MEMORY_BYTES),
         )
         self._again: asyncio.TimerHandle | None = None
         self.heard_s = 0.0
--- a/relay/discovery.py
+++ b/relay/discovery.py
@@ -82,19 +82,19 @@
     def __init__(
         self,
         address: Address,
-        seq: int,
+        version: int,
         *,
-        told: UpdateCallback,
-        told_in_pieces: PiecewiseUpdateCallback,
-        failed: Callable[[], None],
-        most_line: int = DEFAULT_MAX_LINE_BYTES,
+        on_update: UpdateCallback,
+        on_long_update: PiecewiseUpdateCallback,
+        on_end: Callable[[], None],
+        max_line_bytes: int = DEFAULT_MAX_LINE_BYTES,
     ) -> None:
         self._address = address
-        self.version = seq  # of the list that is in force
-        self._on_update = told
-        self._on_end = failed
-        self._on_long_update = told_in_pieces
-        self._max_line_bytes = most_line
+        self.version = version  # of the list that is in force
+        self._on_update = on_update
+        self._on_end = on_end
+        self._on_long_update = on_long_update
+        self._max_line_bytes = max_line_bytes
         self._task: asyncio.Task[None] | None = None
         self._is_working = False  # whether a list has arrived, or a long one is arriving
         self.open_connections = 0
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -169,10 +169,10 @@
         self._watch = Watch(
             config.discovery,
             config.initial_hosts.version,
-            told=self._listed,
-            told_in_pieces=self._apply_list_in_pieces,
-            failed=self._list_failed,
-            most_line=line_limit_for_memory(config.memory_bytes),
+            on_update=self._listed,
+            on_long_update=self._apply_list_in_pieces,
+            on_end=self._list_failed,
+            max_line_bytes=line_limit_for_memory(config.memory_bytes),
         )
         self._notices = NoticeSender(config.discovery, self._notice_confirmed)
         self._held: dict[str, HeldMessage] = {}  # messages that owe their end to the module
