--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -73,11 +73,13 @@
     calls = Calls(1)
     for number in range(2 * endpoint_calls.MAX_REMEMBERED_HOSTS):
         gone = entry(f"x{number}", listing=api.Listing.GONE)
-        calls.hosts.apply_update(DirectoryUpdate(2, False, (ListedEndpoint(gone, ("127.0.0.1", 1)),)))
-    calls.list(1)
-    assert len(calls.hosts.remembered_hosts) == endpoint_calls.MAX_REMEMBERED_HOSTS
-    assert "h1" in calls.hosts.remembered_hosts
-    assert "x0" not in calls.hosts.remembered_hosts
+        calls.endpoint_calls.apply_update(
+            DirectoryUpdate(2, False, (ListedEndpoint(gone, ("127.0.0.1", 1)),))
+        )
+    calls.set_listing(1)
+    assert len(calls.endpoint_calls.remembered_hosts) == endpoint_calls.MAX_REMEMBERED_HOSTS
+    assert "h1" in calls.endpoint_calls.remembered_hosts
+    assert "x0" not in calls.endpoint_calls.remembered_hosts
 
 
 def test_a_partner_without_endpoints_is_kept_as_long_as_a_message_is_out() -> None:
--- a/tests/test_concurrent_events.py
+++ b/tests/test_concurrent_events.py
@@ -80,8 +80,8 @@
     calls.send("m1", "m2", limit_us=500_000)
     whole(await host.call(0))
     if cancelled:
-        calls.hosts.cancel("m1", 0)
-        calls.hosts.cancel("m2", 0)
+        calls.endpoint_calls.cancel("m1", 0)
+        calls.endpoint_calls.cancel("m2", 0)
     else:
         hold_until(begun_s + 0.51)
     assert await calls.outcome("m1") == PartOutcome(Verdict.OK, complete=True)
@@ -99,7 +99,7 @@
     told = await calls.outcome("m1")
     assert told.verdict is Verdict.FULL
     assert told.wait_us == 60_000_000
-    assert calls.hosts.outcome_if_blocked("h1") is not None
+    assert calls.endpoint_calls.outcome_if_blocked("h1") is not None
     host.stop()
 
 
@@ -113,5 +113,5 @@
     while call.open_parts:
         request.writer.write(b"m")
         await asyncio.sleep(0)
-    assert {told.verdict for told in calls.told.values()} == {Verdict.TIMEOUT}
+    assert {told.verdict for told in calls.outcomes.values()} == {Verdict.TIMEOUT}
     host.stop()
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -31,19 +31,21 @@
     """Hosts with one host on the list, and the outcomes that came of it."""
 
     def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
-        self.told: dict[str, PartOutcome] = {}
-        self.ended = asyncio.Event()
-        self.hosts = EndpointCalls([KIND], 15_000_000, connect_us, 10, self._settled)
-        self.list(port)
+        self.outcomes: dict[str, PartOutcome] = {}
+        self.outcome_added = asyncio.Event()
+        self.endpoint_calls = EndpointCalls([KIND], 15_000_000, connect_us, 10, self._settled)
+        self.set_listing(port)
 
-    def list(self, port: int, listing: Listing = Listing.READY) -> None:
+    def set_listing(self, port: int, listing: Listing = Listing.READY) -> None:
         """The host as the directory lists it."""
         entry = Entry("h1", 1, "a", "banks", listing)
-        self.hosts.apply_update(DirectoryUpdate(1, False, (ListedEndpoint(entry, ("127.0.0.1", port)),)))
+        self.endpoint_calls.apply_update(
+            DirectoryUpdate(1, False, (ListedEndpoint(entry, ("127.0.0.1", port)),))
+        )
 
     def _settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
-        self.told[part.id] = told
-        self.ended.set()
+        self.outcomes[part.id] = told
+        self.outcome_added.set()
 
     def send(
         self,
@@ -57,15 +59,15 @@
         for part in parts:
             part.send_by_s = (begin_by_s or {}).get(part.id, math.inf)
         call = Call("h1", parts, time.monotonic())
-        self.hosts.send(call)
+        self.endpoint_calls.send(call)
         return call
 
     async def outcome(self, ref: str) -> PartOutcome:
         """How a message's attempt ended."""
-        while ref not in self.told:
-            self.ended.clear()
-            await soon(self.ended.wait())
-        return self.told[ref]
+        while ref not in self.outcomes:
+            self.outcome_added.clear()
+            await soon(self.outcome_added.wait())
+        return self.outcomes[ref]
 
 
 async def serving(reply: object = delivered) -> HttpServer:
@@ -80,7 +82,7 @@
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
-    calls.list(host.port, Listing.DRAINING)
+    calls.set_listing(host.port, Listing.DRAINING)
     assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
     assert host.seen == []
     host.stop()
@@ -188,7 +190,7 @@
             await asyncio.sleep(0.01)
         gate.set()
         assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
-    assert calls.hosts.idle_count == 1, "the connection serves the next call"
+    assert calls.endpoint_calls.idle_count == 1, "the connection serves the next call"
     assert host.seen == []
     host.stop()
 
@@ -231,7 +233,7 @@
     assert (await calls.outcome("m1")).verdict is Verdict.TIMEOUT
     while host.writers:
         await asyncio.sleep(0.01)
-    assert calls.hosts.calls == set()
+    assert calls.endpoint_calls.calls == set()
     host.stop()
 
 
@@ -273,9 +275,9 @@
     calls = Calls(host.port)
     calls.send("m1")
     assert (await calls.outcome("m1")).verdict is verdict
-    while calls.hosts.calls:
+    while calls.endpoint_calls.calls:
         await asyncio.sleep(0)
-    assert calls.hosts.idle_count == kept
+    assert calls.endpoint_calls.idle_count == kept
     host.stop()
 
 
@@ -333,7 +335,7 @@
     calls = Calls(host.port)
     calls.send("m1")
     await host.call(0)
-    calls.hosts.cancel("m1", 0)
+    calls.endpoint_calls.cancel("m1", 0)
     assert (await calls.outcome("m1")).verdict is Verdict.CANCELLED
     while host.writers:
         await asyncio.sleep(0.01)
@@ -346,11 +348,11 @@
     calls = Calls(host.port)
     call = calls.send("m1", "m2")
     request = await host.call(0)
-    calls.hosts._end_part(call, call.parts[0], Verdict.TIMEOUT)
-    assert calls.told["m1"] == PartOutcome(Verdict.TIMEOUT)
+    calls.endpoint_calls._end_part(call, call.parts[0], Verdict.TIMEOUT)
+    assert calls.outcomes["m1"] == PartOutcome(Verdict.TIMEOUT)
     delivered(request)
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert calls.told["m1"] == PartOutcome(Verdict.OK, complete=True)
+    assert calls.outcomes["m1"] == PartOutcome(Verdict.OK, complete=True)
     host.stop()
 
 
@@ -361,13 +363,13 @@
     limits_us = {"m1": 1_000_000, "m2": 20_000_000}
     parts = [Part(ref, 0, "", b"x", limit_us, 60_000_000) for ref, limit_us in limits_us.items()]
     call = Call("h1", parts, time.monotonic())
-    calls.hosts.send(call)
+    calls.endpoint_calls.send(call)
     await host.call(0)
-    while not (parts[0].overdue or calls.told):
+    while not (parts[0].overdue or calls.outcomes):
         await asyncio.sleep(0.01)
-    assert calls.told == {}
-    calls.hosts._on_limit_passed(call, parts[1])
-    assert calls.told == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
+    assert calls.outcomes == {}
+    calls.endpoint_calls._on_limit_passed(call, parts[1])
+    assert calls.outcomes == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
     while host.writers:
         await asyncio.sleep(0.01)
     host.stop()
@@ -378,14 +380,14 @@
     host = await serving(silent)
     calls = Calls(host.port)
     parts = [Part("m1", 0, "", b"x", 300_000, 300_000), Part("m2", 0, "", b"x", 20_000_000, 60_000_000)]
-    calls.hosts.send(Call("h1", parts, time.monotonic()))
+    calls.endpoint_calls.send(Call("h1", parts, time.monotonic()))
     request = await host.call(0)
     assert request.headers["x-remaining"] == "300m", "the call is waited for no longer than that"
     assert await calls.outcome("m1") == PartOutcome(Verdict.TIMEOUT)
-    assert calls.told == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
+    assert calls.outcomes == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
     while host.writers:
         await asyncio.sleep(0.01)
-    assert not calls.hosts.calls
+    assert not calls.endpoint_calls.calls
     host.stop()
 
 
@@ -397,7 +399,7 @@
         calls = Calls(sock.getsockname()[1])
         parts = [Part("m1", 0, "", bytes(16 << 20), 200_000, 200_000)]
         parts += [Part("m2", 0, "", b"x", 20_000_000, 60_000_000)]
-        calls.hosts.send(Call("h1", parts, time.monotonic()))
+        calls.endpoint_calls.send(Call("h1", parts, time.monotonic()))
         for ref in ("m1", "m2"):
             assert await calls.outcome(ref) == PartOutcome(Verdict.CONNECT_FAILED)
 
@@ -408,9 +410,9 @@
     calls.send("m1")
     await calls.outcome("m1")
     while host.writers:
-        calls.hosts.close_idle("h1")
+        calls.endpoint_calls.close_idle("h1")
         await asyncio.sleep(0.01)
-    calls.hosts._idle_pool._max_idle_s = 0.05
+    calls.endpoint_calls._idle_pool._max_idle_s = 0.05
     calls.send("m2")
     await calls.outcome("m2")
     while host.writers:
@@ -421,10 +423,10 @@
 
 def passed_on(giver: Calls, room: int) -> tuple[Calls, CallsHandover]:
     """Another process's hosts with what was left, over the same bytes and copies of the descriptors."""
-    left, fds = giver.hosts.hand_over(room)
+    left, fds = giver.endpoint_calls.hand_over(room)
     left = pickle.loads(pickle.dumps(left))
     taker = Calls(1)
-    taker.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    taker.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     return taker, left
 
 
@@ -434,8 +436,8 @@
     giver.send("m1")
     taker, _ = passed_on(giver, 100)
     assert (await taker.outcome("m1")).verdict is Verdict.NOT_SENT
-    assert not taker.hosts.calls
-    giver.hosts.close()
+    assert not taker.endpoint_calls.calls
+    giver.endpoint_calls.close()
 
 
 async def test_a_limit_goes_on_from_when_the_call_was_sent() -> None:
@@ -446,7 +448,7 @@
     call.sent_at_s -= 59.9  # as if it had been out so long
     taker, _ = passed_on(giver, 100)
     assert (await taker.outcome("m1")).verdict is Verdict.TIMEOUT
-    giver.hosts.close()
+    giver.endpoint_calls.close()
     host.stop()
 
 
@@ -461,8 +463,8 @@
         await giver.outcome(ref)
     taker, left = passed_on(giver, 1)
     assert len(left.idle_connections) == 1
-    giver.hosts.close()
-    taker.list(host.port)
+    giver.endpoint_calls.close()
+    taker.set_listing(host.port)
     taker.send("m3")
     call = await host.call(2)
     assert host.connections == 2, "the one that went over serves"
@@ -500,12 +502,12 @@
     idle: list[int] = []
 
     def told(_call: Call, _part: Part, _told: PartOutcome) -> None:
-        idle.append(calls.hosts.idle_count)
-        calls.ended.set()
+        idle.append(calls.endpoint_calls.idle_count)
+        calls.outcome_added.set()
 
-    calls.hosts._on_settled = told
+    calls.endpoint_calls._on_settled = told
     calls.send("m1")
-    await soon(calls.ended.wait())
+    await soon(calls.outcome_added.wait())
     assert idle == [1]
     host.stop()
 
@@ -554,9 +556,9 @@
     calls.send("m1")
     await calls.outcome("m1")
     host.stop()
-    while not calls.hosts.connection_counts["ended by host"]:
+    while not calls.endpoint_calls.connection_counts["ended by host"]:
         await asyncio.sleep(0)
-    assert not calls.hosts.idle_count
+    assert not calls.endpoint_calls.idle_count
 
 
 async def test_an_early_answer_to_a_request_that_is_still_written_does_not_spin(
@@ -630,14 +632,14 @@
     await host.call(0)
     assert call.connection is not None
     port = call.connection.local_port
-    left, fds = calls.hosts.hand_over(10)
+    left, fds = calls.endpoint_calls.hand_over(10)
     after = Calls(host.port)
-    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     lines = [line for line in caplog.messages if line.startswith("handover: call to h1 with m1 #0")]
     assert ["given after" in line for line in lines] == [True, False]
     assert ["taken over after" in line for line in lines] == [False, True]
     assert all(f"connection from port {port}, new" in line for line in lines)
-    after.hosts.cancel("m1", 0)
+    after.endpoint_calls.cancel("m1", 0)
     assert any(line.startswith("attempt: m1 #0 at h1 is called off") for line in caplog.messages)
     host.stop()
 
@@ -650,21 +652,21 @@
     calls.send("m1")
     await host.call(0)
     if not started:
-        left, fds = calls.hosts.hand_over(10)
+        left, fds = calls.endpoint_calls.hand_over(10)
         given = [socket.socket(fileno=os.dup(fd)) for fd in fds]
-        calls.hosts.close()
+        calls.endpoint_calls.close()
         calls = Calls(host.port)
-        calls.hosts.take_over(left, iter(given))
+        calls.endpoint_calls.take_over(left, iter(given))
     open_when_told = list[bool]()
 
     def settled(call: Call, _part: Part, _told: PartOutcome) -> None:
         assert call.connection is not None
         open_when_told.append(call.connection.sock.fileno() >= 0)
 
-    calls.hosts._on_settled = settled
-    calls.hosts.cancel("m1", 0)
+    calls.endpoint_calls._on_settled = settled
+    calls.endpoint_calls.cancel("m1", 0)
     assert open_when_told == [False]
-    assert calls.hosts.calls == set()
+    assert calls.endpoint_calls.calls == set()
     await asyncio.sleep(0)
     host.stop()
 
@@ -679,8 +681,8 @@
         while call.connection is None or not call.connection._writer_added:
             await asyncio.sleep(0.01)
         descriptor, task = call.connection.sock.fileno(), call.task
-        calls.hosts.cancel("m1", 0)
-        assert calls.told["m1"].verdict is Verdict.CONNECT_FAILED
+        calls.endpoint_calls.cancel("m1", 0)
+        assert calls.outcomes["m1"].verdict is Verdict.CONNECT_FAILED
         assert not asyncio.get_running_loop().remove_writer(descriptor)
         assert task is not None
         with pytest.raises(asyncio.CancelledError):
@@ -693,14 +695,14 @@
     calls = Calls(host.port)
     calls.send("m1")
     request = await host.call(0)
-    left, fds = calls.hosts.hand_over(10)
+    left, fds = calls.endpoint_calls.hand_over(10)
     request.answer(429, X_Retry_In_Ms="60000")
     await request.writer.drain()
     after = Calls(host.port)
-    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
-    after.hosts.cancel("m1", 0)
+    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls.cancel("m1", 0)
     assert (await after.outcome("m1")).verdict is Verdict.FULL
-    assert after.hosts.remaining_wait_us("h1") > 0
+    assert after.endpoint_calls.remaining_wait_us("h1") > 0
     host.stop()
 
 
@@ -732,20 +734,20 @@
         calls = Calls(sock.getsockname()[1])
         parts = [Part("m1", 0, "", b"x", 50_000, 60_000_000), Part("m2", 0, "", b"x", 20_000_000, 60_000_000)]
         call = Call("h1", parts, time.monotonic())
-        calls.hosts.send(call)
+        calls.endpoint_calls.send(call)
         while not parts[0].overdue:
             await asyncio.sleep(0.01)
         assert call.connection is not None
         assert not call.connection.request_begun
-        assert calls.told == {}
-        calls.hosts.cancel("m2", 0)
-        calls.hosts.cancel("m1", 0)
-        assert [calls.told[ref].verdict for ref in ("m2", "m1")] == [
+        assert calls.outcomes == {}
+        calls.endpoint_calls.cancel("m2", 0)
+        calls.endpoint_calls.cancel("m1", 0)
+        assert [calls.outcomes[ref].verdict for ref in ("m2", "m1")] == [
             Verdict.CANCELLED,
             Verdict.CONNECT_FAILED,
         ]
         assert call.connection.sock.fileno() < 0
-        calls.hosts.close()
+        calls.endpoint_calls.close()
 
 
 @pytest.mark.parametrize("status", [500, 503, 429])
@@ -770,14 +772,14 @@
     host = await serving(spoilt)
     calls = Calls(host.port)
     open_when_told = dict[str, bool]()
-    tell = calls.hosts._on_settled
+    tell = calls.endpoint_calls._on_settled
 
     def settled(call: Call, part: Part, told: PartOutcome) -> None:
         assert call.connection is not None
         open_when_told[part.id] = call.connection.sock.fileno() >= 0
         tell(call, part, told)
 
-    calls.hosts._on_settled = settled
+    calls.endpoint_calls._on_settled = settled
     calls.send("m1", "m2")
     expected = Verdict.ERROR if status == 500 else Verdict.FULL
     assert [await calls.outcome(ref) for ref in ("m1", "m2")] == 2 * [PartOutcome(expected, wait_us=5_000)]
@@ -797,9 +799,9 @@
     call = calls.send("m1")
     while call.head_outcome is None:
         await asyncio.sleep(0.001)
-    calls.hosts.cancel("m1", 0)
-    assert calls.told["m1"] == PartOutcome(Verdict.FULL)
-    assert calls.hosts.calls == set()
+    calls.endpoint_calls.cancel("m1", 0)
+    assert calls.outcomes["m1"] == PartOutcome(Verdict.FULL)
+    assert calls.endpoint_calls.calls == set()
     host.stop()
 
 
@@ -824,7 +826,7 @@
     calls = Calls(host.port)
     calls.send("m1", "m2")
     request = await host.call(0)
-    left, fds = calls.hosts.hand_over(10)
+    left, fds = calls.endpoint_calls.hand_over(10)
     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-")
     await request.writer.drain()
     after = Calls(host.port)
@@ -834,14 +836,14 @@
         assert call.connection is not None
         open_when_told[part.id] = call.connection.sock.fileno() >= 0
 
-    after.hosts._on_settled = settled
-    after.hosts.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls._on_settled = settled
+    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     for ref in ("m1", "m2"):
-        after.hosts.cancel(ref, 0)
+        after.endpoint_calls.cancel(ref, 0)
     while len(open_when_told) < 2:
         await asyncio.sleep(0)
     assert open_when_told["m2"] is False
-    assert after.hosts.calls == set()
+    assert after.endpoint_calls.calls == set()
     host.stop()
 
 
@@ -854,10 +856,10 @@
     call = calls.send("m1", limit_us=300_000 if how == "timed out" else 20_000_000)
     request = await host.call(0)
     assert call.connection is not None
-    _, fds = calls.hosts.hand_over(10)
+    _, fds = calls.endpoint_calls.hand_over(10)
     copy = os.dup(fds[0])
     if how == "called off":
-        calls.hosts.cancel("m1", 0)
+        calls.endpoint_calls.cancel("m1", 0)
     await calls.outcome("m1")
     async with asyncio.timeout(5):
         while request.writer in host.writers:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -120,7 +120,7 @@
     """What the network code and the module hold after some news, with what they knew before."""
     calls, module = Calls(1), Relay(settings(), 1)
     if known:
-        calls.hosts.apply_update(DirectoryUpdate(1, True, tuple(known)))
+        calls.endpoint_calls.apply_update(DirectoryUpdate(1, True, tuple(known)))
         module.step(
             0, [api.EndpointUpdate(api.EndpointUpdateKind.CACHED, tuple(item.entry for item in known))]
         )
@@ -130,7 +130,7 @@
         for host, endpoint in module.endpoints.items()
         if endpoint.listing is not api.Listing.GONE
     }
-    return calls.hosts.endpoints, ready
+    return calls.endpoint_calls.endpoints, ready
 
 
 @given(st.lists(listings, max_size=8), st.lists(listings, max_size=8), st.booleans(), st.integers(1, 3))
@@ -144,14 +144,16 @@
     def at_once(calls: Calls, module: Relay) -> None:
         changes = {item.entry.host: item for item in hosts}  # of a host that is named twice the last counts
         entries = tuple(item.entry for item in changes.values())
-        calls.hosts.apply_update(news)
+        calls.endpoint_calls.apply_update(news)
         kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
         module.step(5_000, [api.EndpointUpdate(kind, entries)])
 
     def by_pieces(calls: Calls, module: Relay) -> None:
-        for number, piece in enumerate(split_changes(ordered_changes(news, calls.hosts.endpoints), most)):
+        for number, piece in enumerate(
+            split_changes(ordered_changes(news, calls.endpoint_calls.endpoints), most)
+        ):
             assert len(piece) <= most
-            calls.hosts.apply_update(DirectoryUpdate(2, False, piece))
+            calls.endpoint_calls.apply_update(DirectoryUpdate(2, False, piece))
             entries = tuple(item.entry for item in piece)
             module.step(
                 5_000 * (number + 1),
--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -120,7 +120,7 @@
 async def test_waits_of_a_thousand_routes_stand_side_by_side() -> None:
     calls = Calls(1)
     news = tuple(ListedEndpoint(entry(f"h{n}", n, "banks"), ("127.0.0.1", 1)) for n in range(MANY))
-    calls.hosts.apply_update(DirectoryUpdate(1, True, news))
-    calls.hosts.restore_waits({f"h{n}": time.monotonic() + 60 for n in range(MANY)})
-    assert all(calls.hosts.remaining_wait_us(f"h{n}") for n in range(MANY))
-    assert len(calls.hosts.active_waits) == MANY
+    calls.endpoint_calls.apply_update(DirectoryUpdate(1, True, news))
+    calls.endpoint_calls.restore_waits({f"h{n}": time.monotonic() + 60 for n in range(MANY)})
+    assert all(calls.endpoint_calls.remaining_wait_us(f"h{n}") for n in range(MANY))
+    assert len(calls.endpoint_calls.active_waits) == MANY
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -99,7 +99,7 @@
     calls = Calls(host.port)
     calls.send("m1")
     await calls.outcome("m1")
-    assert calls.hosts.idle_count == 1
+    assert calls.endpoint_calls.idle_count == 1
     opened, failures = Connection.open, [OSError(errno.EMFILE, "none left")]
 
     async def short(address: tuple[str, int]) -> Connection:
@@ -108,10 +108,11 @@
         return await opened(address)
 
     monkeypatch.setattr(Connection, "open", short)
-    monkeypatch.setattr(calls.hosts._idle_pool, "take", lambda _host: None)  # another host's is the idle one
+    # The idle connection stands for one to another host.
+    monkeypatch.setattr(calls.endpoint_calls._idle_pool, "take", lambda _host: None)
     calls.send("m2")
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert calls.hosts.connection_counts["gave way"] == 1
+    assert calls.endpoint_calls.connection_counts["gave way"] == 1
     host.stop()
 
 
