--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -1,4 +1,4 @@
-"""Calls at the level of one connection: what each end of a call proves."""
+"""Calls to an endpoint, one connection at a time: which outcome each way to end proves."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class Calls:
-    """Hosts with one host on the list, and the outcomes that came of it."""
+    """EndpointCalls with one listed endpoint, h1, and the outcomes by message id."""
 
-    def __init__(self, port: int, connect_us: int = 10_000_000) -> None:
+    def __init__(self, port: int, connect_timeout_us: int = 10_000_000) -> None:
         self.outcomes: dict[str, PartOutcome] = {}
         self.outcome_added = asyncio.Event()
-        self.endpoint_calls = EndpointCalls([KIND], 15_000_000, connect_us, 10, self._settled)
+        self.endpoint_calls = EndpointCalls([KIND], 15_000_000, connect_timeout_us, 10, self._settled)
         self.set_listing(port)
 
     def set_listing(self, port: int, listing: Listing = Listing.READY) -> None:
-        """The host as the directory lists it."""
+        """List the endpoint at a port of 127.0.0.1."""
         entry = Entry("h1", 1, "a", "banks", listing)
         self.endpoint_calls.apply_update(
             DirectoryUpdate(1, False, (ListedEndpoint(entry, ("127.0.0.1", port)),))
         )
 
-    def _settled(self, _call: Call, part: Part, told: PartOutcome) -> None:
-        self.outcomes[part.id] = told
+    def _settled(self, _call: Call, part: Part, outcome: PartOutcome) -> None:
+        self.outcomes[part.id] = outcome
         self.outcome_added.set()
 
     def send(
@@ -52,18 +52,18 @@
         *refs: str,
         limit_us: int = 20_000_000,
         body: bytes = b"x",
-        begin_by_s: dict[str, float] | None = None,
+        send_by_s: dict[str, float] | None = None,
     ) -> Call:
-        """One call; some messages may begin only until a time."""
+        """Send one call with a part per id; ``send_by_s``: monotonic ends of windows, by id."""
         parts = [Part(ref, 0, "", body, limit_us, 60_000_000) for ref in refs]
         for part in parts:
-            part.send_by_s = (begin_by_s or {}).get(part.id, math.inf)
+            part.send_by_s = (send_by_s or {}).get(part.id, math.inf)
         call = Call("h1", parts, time.monotonic())
         self.endpoint_calls.send(call)
         return call
 
     async def outcome(self, ref: str) -> PartOutcome:
-        """How a message's attempt ended."""
+        """Wait for the outcome of a message's attempt."""
         while ref not in self.outcomes:
             self.outcome_added.clear()
             await soon(self.outcome_added.wait())
@@ -71,14 +71,14 @@
 
 
 async def serving(reply: object = delivered) -> HttpServer:
-    """A host that answers so."""
+    """Start an endpoint that answers each request by ``reply``."""
     host = HttpServer(reply)  # type: ignore[arg-type]
     await host.start()
     return host
 
 
 async def test_a_drain_between_decision_and_write_binds_the_write() -> None:
-    """Connecting takes time in which the directory may speak: the call must not go out after that."""
+    """The directory may announce a drain while the connection is set up: the call must not be sent then."""
     host = await serving()
     calls = Calls(host.port)
     calls.send("m1")
@@ -94,9 +94,9 @@
     calls.send("m1")
     await calls.outcome("m1")
     calls.send("m2")
-    told = await calls.outcome("m2")
-    assert told.verdict is Verdict.NOT_SENT
-    assert 0 < told.wait_us <= 60_000_000
+    outcome = await calls.outcome("m2")
+    assert outcome.verdict is Verdict.NOT_SENT
+    assert 0 < outcome.wait_us <= 60_000_000
     assert len(host.seen) == 1
     host.stop()
 
@@ -110,15 +110,15 @@
 
 
 async def test_a_connection_that_never_comes_up_never_ran() -> None:
-    """A full backlog takes no further connection, as a machine that is cut off."""
+    """A full backlog accepts no further connection, like a machine that is cut off."""
     with full_backlog() as full:
-        calls = Calls(full.port, connect_us=300_000)
+        calls = Calls(full.port, connect_timeout_us=300_000)
         calls.send("m1")
         assert (await calls.outcome("m1")).verdict is Verdict.CONNECT_FAILED
 
 
 async def test_a_break_before_the_last_byte_never_ran() -> None:
-    """A host that stops reading and breaks cannot have begun, whatever part of the request it has."""
+    """An endpoint that stops reading and resets cannot have begun, however much of the request it has."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
@@ -150,14 +150,14 @@
 
 @asynccontextmanager
 async def held_up(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[asyncio.Event]:
-    """Connections come up only once the event is set."""
+    """Delay the set-up of connections until the event is set."""
     gate, opened = asyncio.Event(), Connection.open
 
-    async def late(address: tuple[str, int]) -> Connection:
+    async def open_late(address: tuple[str, int]) -> Connection:
         await soon(gate.wait())
         return await opened(address)
 
-    monkeypatch.setattr(Connection, "open", late)
+    monkeypatch.setattr(Connection, "open", open_late)
     yield gate
     gate.set()
 
@@ -165,11 +165,11 @@
 async def test_a_window_that_ends_while_a_connection_comes_up_bars_the_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A repeat that runs after its key's window takes effect twice; what came with it goes on alone."""
+    """A repeat after its key's window would take effect twice; the other message is sent alone."""
     host = await serving()
     calls = Calls(host.port)
     async with held_up(monkeypatch) as gate:
-        call = calls.send("m1", "m2", begin_by_s={"m1": time.monotonic() + 0.05})
+        call = calls.send("m1", "m2", send_by_s={"m1": time.monotonic() + 0.05})
         assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
         assert call.connection is None
         gate.set()
@@ -179,14 +179,14 @@
 
 
 async def test_a_window_that_ended_unseen_bars_the_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop may be late: the connection is up and the timer that tells of the end has not run."""
+    """The loop may be late: the connection is set up before the timer for the window's end has run."""
     host = await serving()
     calls = Calls(host.port)
     monkeypatch.setattr(EndpointCalls, "_schedule_window_end", lambda _hosts, _call: None)
     async with held_up(monkeypatch) as gate:
-        ends_s = time.monotonic() + 0.05
-        calls.send("m1", begin_by_s={"m1": ends_s})
-        while time.monotonic() < ends_s:
+        window_end_s = time.monotonic() + 0.05
+        calls.send("m1", send_by_s={"m1": window_end_s})
+        while time.monotonic() < window_end_s:
             await asyncio.sleep(0.01)
         gate.set()
         assert await calls.outcome("m1") == PartOutcome(Verdict.NOT_SENT)
@@ -199,28 +199,28 @@
 async def test_a_window_that_ends_under_a_partly_written_call_keeps_its_last_byte_back(
     monkeypatch: pytest.MonkeyPatch, timed: bool
 ) -> None:
-    """All that the call carries then never ran; with the last byte it would run, late."""
-    if not timed:  # the peer reads on at the very moment at which the window is over
+    """Then no message of the call runs; with the last byte all would run, one after its window."""
+    if not timed:  # the peer continues to read just as the window ends
         monkeypatch.setattr(EndpointCalls, "_schedule_window_end", lambda _hosts, _call: None)
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.bind(("127.0.0.1", 0))
         sock.listen(1)
         sock.setblocking(False)
-        calls, ends_s = Calls(sock.getsockname()[1]), time.monotonic() + 1.0
+        calls, window_end_s = Calls(sock.getsockname()[1]), time.monotonic() + 1.0
         names = [f"m{n}" for n in range(64)]
-        call = calls.send(*names, body=bytes(65536), begin_by_s={"m0": ends_s})
+        call = calls.send(*names, body=bytes(65536), send_by_s={"m0": window_end_s})
         loop = asyncio.get_running_loop()
         peer, _ = await soon(loop.sock_accept(sock))
         while call.connection is None or not call.connection.request_begun:
             await asyncio.sleep(0.01)
-        while time.monotonic() < ends_s:
+        while time.monotonic() < window_end_s:
             await asyncio.sleep(0.01)
-        came = 0
-        with suppress(ConnectionResetError):  # the way in which a call that is given up ends
+        received_bytes = 0
+        with suppress(ConnectionResetError):  # a call that is given up is reset
             while data := await soon(loop.sock_recv(peer, 1 << 20)):
-                came += len(data)
-        assert came < 64 * 65536
+                received_bytes += len(data)
+        assert received_bytes < 64 * 65536
         for name in names:
             assert (await calls.outcome(name)).verdict.never_ran
         peer.close()
@@ -238,7 +238,7 @@
 
 
 def writes(answer: bytes) -> Callable[[Request], None]:
-    """A reply of exactly these bytes."""
+    """Return a reply that writes exactly these bytes."""
     return lambda request: request.writer.write(answer)
 
 
@@ -248,7 +248,7 @@
 
 @pytest.mark.parametrize("head", BROKEN_HEADS)
 async def test_a_first_line_with_200_is_true_for_one_message(head: bytes) -> None:
-    """Taken for a failure, what is delivered would be sent again or given up."""
+    """If it counted as a failure, a delivered message would be sent again or given up."""
     host = await serving(writes(OK_LINE + head))
     calls = Calls(host.port)
     calls.send("m1")
@@ -270,7 +270,7 @@
 async def test_of_an_answer_beside_others_the_final_one_counts(
     answer: bytes, verdict: Verdict, kept: int
 ) -> None:
-    """Interim and doubled status lines, and more bytes than the length says."""
+    """Interim and repeated status lines, and more bytes than Content-Length says."""
     host = await serving(lambda request: request.writer.write(answer))
     calls = Calls(host.port)
     calls.send("m1")
@@ -282,12 +282,12 @@
 
 
 async def test_a_first_line_with_200_ends_a_call_long_before_its_limit() -> None:
-    """Day 5: the rest never came, and a slot was held until the message's time was up."""
+    """The rest of the answer may never arrive: until the message's deadline it would occupy a slot."""
     host = await serving(lambda request: request.writer.write(OK_LINE + b"Content-"))
     calls = Calls(host.port)
     calls.send("m1", limit_us=600_000_000)
     assert await calls.outcome("m1") == PartOutcome(Verdict.OK, complete=True)
-    while host.writers:  # the host sees the call's end as well
+    while host.writers:  # the endpoint sees the end of the call too
         await asyncio.sleep(0.01)
     host.stop()
 
@@ -314,7 +314,7 @@
     [b"HTTP/1.1 2x0 OK\r\n\r\n", b"ICY 200 OK\r\n\r\n", b"HTTP/1.1 2000 X\r\n\r\n", b"\x00" * 99],
 )
 async def test_an_answer_that_cannot_be_read_is_the_hosts_error(answer: bytes) -> None:
-    """The connection brought it: told as a reset, the module would take idle connections for cut."""
+    """The connection works. Reported as a reset, the module would take idle connections for broken."""
     host = await serving(writes(answer))
     calls = Calls(host.port)
     calls.send("m1")
@@ -343,7 +343,7 @@
 
 
 async def test_a_message_delivered_after_its_own_limit_is_over() -> None:
-    """Another's longer limit keeps the shared call open: its answer still ends the message."""
+    """The other message's longer limit keeps the shared call open: its answer still ends the message."""
     host = await serving(silent)
     calls = Calls(host.port)
     call = calls.send("m1", "m2")
@@ -357,7 +357,7 @@
 
 
 async def test_a_message_past_its_limit_is_out_as_long_as_the_call_it_shares() -> None:
-    """Incident inc327: told as timed out while another kept the call open, it was sent beside itself."""
+    """Incident inc327: reported as timed out while another kept the call open, it was sent in parallel."""
     host = await serving(silent)
     calls = Calls(host.port)
     limits_us = {"m1": 1_000_000, "m2": 20_000_000}
@@ -376,13 +376,13 @@
 
 
 async def test_a_message_whose_time_is_up_ends_the_call_that_carries_it() -> None:
-    """Told alone it got its end while it was still out, and what the others were answered then was lost."""
+    """Ended alone, it would still be in progress, and the answers for the others would be lost."""
     host = await serving(silent)
     calls = Calls(host.port)
     parts = [Part("m1", 0, "", b"x", 300_000, 300_000), Part("m2", 0, "", b"x", 20_000_000, 60_000_000)]
     calls.endpoint_calls.send(Call("h1", parts, time.monotonic()))
     request = await host.call(0)
-    assert request.headers["x-remaining"] == "300m", "the call is waited for no longer than that"
+    assert request.headers["x-remaining"] == "300m", "no longer than the message has left"
     assert await calls.outcome("m1") == PartOutcome(Verdict.TIMEOUT)
     assert calls.outcomes == {ref: PartOutcome(Verdict.TIMEOUT) for ref in ("m1", "m2")}
     while host.writers:
@@ -421,20 +421,20 @@
     host.stop()
 
 
-def passed_on(giver: Calls, room: int) -> tuple[Calls, CallsHandover]:
-    """Another process's hosts with what was left, over the same bytes and copies of the descriptors."""
-    left, fds = giver.endpoint_calls.hand_over(room)
-    left = pickle.loads(pickle.dumps(left))
+def pass_on(giver: Calls, max_descriptors: int) -> tuple[Calls, CallsHandover]:
+    """Hand over to another process's calls, by pickled bytes and copies of the descriptors."""
+    handover, fds = giver.endpoint_calls.hand_over(max_descriptors)
+    handover = pickle.loads(pickle.dumps(handover))
     taker = Calls(1)
-    taker.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
-    return taker, left
+    taker.endpoint_calls.take_over(handover, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    return taker, handover
 
 
 async def test_a_call_that_was_not_written_never_ran_for_the_process_that_takes_it() -> None:
-    """The connection comes up in nobody's hands; to call it lost would fail what may not be repeated."""
+    """No process completes its connection. Reported as lost, an unsafe message would fail."""
     giver = Calls(1)
     giver.send("m1")
-    taker, _ = passed_on(giver, 100)
+    taker, _ = pass_on(giver, 100)
     assert (await taker.outcome("m1")).verdict is Verdict.NOT_SENT
     assert not taker.endpoint_calls.calls
     giver.endpoint_calls.close()
@@ -445,8 +445,8 @@
     giver = Calls(host.port)
     call = giver.send("m1", limit_us=60_000_000)
     await host.call(0)
-    call.sent_at_s -= 59.9  # as if it had been out so long
-    taker, _ = passed_on(giver, 100)
+    call.sent_at_s -= 59.9  # as if it had been sent so long ago
+    taker, _ = pass_on(giver, 100)
     assert (await taker.outcome("m1")).verdict is Verdict.TIMEOUT
     giver.endpoint_calls.close()
     host.stop()
@@ -461,20 +461,20 @@
         (await host.call(number)).answer()
     for ref in ("m1", "m2"):
         await giver.outcome(ref)
-    taker, left = passed_on(giver, 1)
-    assert len(left.idle_connections) == 1
+    taker, handover = pass_on(giver, 1)
+    assert len(handover.idle_connections) == 1
     giver.endpoint_calls.close()
     taker.set_listing(host.port)
     taker.send("m3")
     call = await host.call(2)
-    assert host.connections == 2, "the one that went over serves"
+    assert host.connections == 2, "the connection that was handed over is used"
     call.answer()
     assert (await taker.outcome("m3")).verdict is Verdict.OK
     host.stop()
 
 
 async def test_a_new_connection_that_is_turned_away_is_told_apart_from_a_full_limit() -> None:
-    """Told as a limit, it slowed the pace of a destination that had room."""
+    """Reported as a limit, it would slow the pace to a destination that has capacity."""
 
     def turned_away(request: Request) -> None:
         request.answer(503, Connection="close")
@@ -487,7 +487,7 @@
     calls.send("m2")
     await calls.outcome("m2")
     host.default = turned_away
-    calls.send("m3")  # on the connection that served m2: that one is no news to the host
+    calls.send("m3")  # on the connection that served m2, which is not new to the endpoint
     assert await calls.outcome("m3") == PartOutcome(Verdict.FULL)
     host.default = lambda request: request.answer(503)
     calls.send("m4")
@@ -496,48 +496,48 @@
 
 
 async def test_a_connection_can_serve_again_when_its_answer_is_told() -> None:
-    """The next message often goes to the same host at once; it opened one connection more for that."""
+    """The next message often goes to the same host at once, and needs no connection of its own then."""
     host = await serving()
     calls = Calls(host.port)
-    idle: list[int] = []
+    idle_counts: list[int] = []
 
-    def told(_call: Call, _part: Part, _told: PartOutcome) -> None:
-        idle.append(calls.endpoint_calls.idle_count)
+    def settled(_call: Call, _part: Part, _outcome: PartOutcome) -> None:
+        idle_counts.append(calls.endpoint_calls.idle_count)
         calls.outcome_added.set()
 
-    calls.endpoint_calls._on_settled = told
+    calls.endpoint_calls._on_settled = settled
     calls.send("m1")
     await soon(calls.outcome_added.wait())
-    assert idle == [1]
+    assert idle_counts == [1]
     host.stop()
 
 
 async def test_unsent_bytes_are_exact_when_a_write_is_cancelled() -> None:
-    left, right = socket.socketpair()
-    left.setblocking(False)
-    connection = Connection(left, ("127.0.0.1", 1))
+    near, far = socket.socketpair()
+    near.setblocking(False)
+    connection = Connection(near, ("127.0.0.1", 1))
     task = asyncio.create_task(connection.send(bytes(8 << 20)))
     while not connection.request_begun:
         await asyncio.sleep(0)
     task.cancel()
     await asyncio.wait([task])
-    right.setblocking(False)
+    far.setblocking(False)
     received = 0
-    left.shutdown(socket.SHUT_WR)
-    while data := await soon(asyncio.get_running_loop().sock_recv(right, 1 << 20)):
+    near.shutdown(socket.SHUT_WR)
+    while data := await soon(asyncio.get_running_loop().sock_recv(far, 1 << 20)):
         received += len(data)
     assert received + connection.unsent_bytes == 8 << 20
-    left.close()
-    right.close()
+    near.close()
+    far.close()
 
 
 async def test_a_connection_is_watched_once_for_all_its_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A call that asks the loop anew costs four system calls; a socket in place of its number four more."""
+    """Registering for each call costs four system calls; a socket instead of its descriptor, four more."""
     host, loop = await serving(), asyncio.get_running_loop()
-    calls, asked, add_reader = Calls(host.port), list[object](), loop.add_reader
+    calls, registered, add_reader = Calls(host.port), list[object](), loop.add_reader
 
     def counted(fd: int, callback: Callable[..., object], *args: object) -> object:
-        asked.append(fd)
+        registered.append(fd)
         return add_reader(fd, callback, *args)
 
     monkeypatch.setattr(loop, "add_reader", counted)
@@ -545,8 +545,8 @@
         calls.send(f"m{number}")
         assert (await calls.outcome(f"m{number}")).verdict is Verdict.OK
     assert host.connections == 1
-    assert len(asked) == 1
-    assert isinstance(asked[0], int)
+    assert len(registered) == 1
+    assert isinstance(registered[0], int)
     host.stop()
 
 
@@ -564,26 +564,26 @@
 async def test_an_early_answer_to_a_request_that_is_still_written_does_not_spin(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Bytes that nobody waits for yet are told of once; they are read when the request is out."""
-    left, right = socket.socketpair()
-    left.setblocking(False)
-    connection, told = Connection(left, ("127.0.0.1", 1)), [0]
+    """The loop reports bytes that nobody waits for yet once; they are read when the request is sent."""
+    near, far = socket.socketpair()
+    near.setblocking(False)
+    connection, unwatched = Connection(near, ("127.0.0.1", 1)), [0]
     connection.watch()
     unwatch = connection._unwatch
 
     def counted() -> None:
-        told[0] += 1
+        unwatched[0] += 1
         unwatch()
 
     monkeypatch.setattr(connection, "_unwatch", counted)
-    right.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+    far.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     for _ in range(20):
         await asyncio.sleep(0)
-    assert told == [1]
+    assert unwatched == [1]
     connection.build_request("POST", "/", [], b"x")
     assert (await soon(connection.read_response())).status_code == 200
     connection.close()
-    right.close()
+    far.close()
 
 
 @pytest.mark.parametrize(
@@ -597,7 +597,7 @@
         (410, [], Verdict.NOT_SENT),
         (413, [], Verdict.NOT_SENT),
         (400, [], Verdict.NOT_SENT),
-        (404, [], Verdict.ERROR),  # not in the protocol's table: it may have run
+        (404, [], Verdict.ERROR),  # outside the protocol: the message may have run
         (431, [], Verdict.ERROR),
         (500, [], Verdict.ERROR),
         (302, [], Verdict.ERROR),
@@ -624,7 +624,7 @@
 async def test_a_call_that_goes_to_another_process_is_logged_on_both_sides(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """With the port by which the host's records name its connection: else nothing tells who held it."""
+    """With the local port, by which the endpoint's records identify the connection."""
     caplog.set_level("INFO", "relay.endpoint_calls")
     host = await serving(silent)
     calls = Calls(host.port)
@@ -632,9 +632,9 @@
     await host.call(0)
     assert call.connection is not None
     port = call.connection.local_port
-    left, fds = calls.endpoint_calls.hand_over(10)
+    handover, fds = calls.endpoint_calls.hand_over(10)
     after = Calls(host.port)
-    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls.take_over(handover, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     lines = [line for line in caplog.messages if line.startswith("handover: call to h1 with m1 #0")]
     assert ["given after" in line for line in lines] == [True, False]
     assert ["taken over after" in line for line in lines] == [False, True]
@@ -646,26 +646,26 @@
 
 @pytest.mark.parametrize("started", [True, False])
 async def test_a_connection_is_closed_before_its_call_is_told_as_over(started: bool) -> None:
-    """Also where the task that reads its answer has had no turn yet, as right behind a hand-over."""
+    """Also where the task that reads its answer has not run yet, as right after a handover."""
     host = await serving(silent)
     calls = Calls(host.port)
     calls.send("m1")
     await host.call(0)
     if not started:
-        left, fds = calls.endpoint_calls.hand_over(10)
+        handover, fds = calls.endpoint_calls.hand_over(10)
         given = [socket.socket(fileno=os.dup(fd)) for fd in fds]
         calls.endpoint_calls.close()
         calls = Calls(host.port)
-        calls.endpoint_calls.take_over(left, iter(given))
-    open_when_told = list[bool]()
+        calls.endpoint_calls.take_over(handover, iter(given))
+    open_when_settled = list[bool]()
 
-    def settled(call: Call, _part: Part, _told: PartOutcome) -> None:
+    def settled(call: Call, _part: Part, _outcome: PartOutcome) -> None:
         assert call.connection is not None
-        open_when_told.append(call.connection.sock.fileno() >= 0)
+        open_when_settled.append(call.connection.sock.fileno() >= 0)
 
     calls.endpoint_calls._on_settled = settled
     calls.endpoint_calls.cancel("m1", 0)
-    assert open_when_told == [False]
+    assert open_when_settled == [False]
     assert calls.endpoint_calls.calls == set()
     await asyncio.sleep(0)
     host.stop()
@@ -690,16 +690,16 @@
 
 
 async def test_an_answer_that_came_with_its_connection_is_read_before_the_call_is_called_off() -> None:
-    """Right behind a hand-over nobody reads yet: the wait in the answer binds all the same."""
+    """Right after a handover nobody reads yet; the wait in the answer binds all the same."""
     host = await serving(silent)
     calls = Calls(host.port)
     calls.send("m1")
     request = await host.call(0)
-    left, fds = calls.endpoint_calls.hand_over(10)
+    handover, fds = calls.endpoint_calls.hand_over(10)
     request.answer(429, X_Retry_In_Ms="60000")
     await request.writer.drain()
     after = Calls(host.port)
-    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls.take_over(handover, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     after.endpoint_calls.cancel("m1", 0)
     assert (await after.outcome("m1")).verdict is Verdict.FULL
     assert after.endpoint_calls.remaining_wait_us("h1") > 0
@@ -707,7 +707,7 @@
 
 
 def fill(sock: socket.socket) -> None:
-    """Write until the system takes no more."""
+    """Write until the kernel accepts no more bytes."""
     try:
         while True:
             sock.send(bytes(1 << 16))
@@ -718,7 +718,7 @@
 async def test_a_limit_that_ends_before_the_first_byte_of_a_shared_call_waits_for_the_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its bytes are in the request that waits for room: told as never sent it would run beside its repeat."""
+    """Its bytes are in the blocked request: reported as not sent, it would run beside its repeat."""
     opened = Connection.open
 
     async def full(address: tuple[str, int]) -> Connection:
@@ -755,10 +755,10 @@
 async def test_an_answer_without_its_end_is_told_once_its_connection_is_closed(
     status: int, rest: str
 ) -> None:
-    """Until an answer is written or its connection ends the call is out, and a repeat would run beside it."""
+    """Until the answer or its connection ends, the call is in progress and a repeat would run in parallel."""
     head = f"HTTP/1.1 {status} X\r\nX-Retry-In-Ms: 5\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
 
-    def spoilt(request: Request) -> None:
+    def answer_without_end(request: Request) -> None:
         request.writer.write(head + (b"x\r\n" if rest == "cannot be read" else b""))
         if rest == "never ends":
             dripping.append(asyncio.create_task(drip(request.writer)))
@@ -769,21 +769,21 @@
             await asyncio.sleep(0.01)
 
     dripping = list[asyncio.Task[None]]()
-    host = await serving(spoilt)
+    host = await serving(answer_without_end)
     calls = Calls(host.port)
-    open_when_told = dict[str, bool]()
-    tell = calls.endpoint_calls._on_settled
+    open_when_settled = dict[str, bool]()
+    record = calls.endpoint_calls._on_settled
 
-    def settled(call: Call, part: Part, told: PartOutcome) -> None:
+    def settled(call: Call, part: Part, outcome: PartOutcome) -> None:
         assert call.connection is not None
-        open_when_told[part.id] = call.connection.sock.fileno() >= 0
-        tell(call, part, told)
+        open_when_settled[part.id] = call.connection.sock.fileno() >= 0
+        record(call, part, outcome)
 
     calls.endpoint_calls._on_settled = settled
     calls.send("m1", "m2")
     expected = Verdict.ERROR if status == 500 else Verdict.FULL
     assert [await calls.outcome(ref) for ref in ("m1", "m2")] == 2 * [PartOutcome(expected, wait_us=5_000)]
-    assert open_when_told == {"m1": False, "m2": False}
+    assert open_when_settled == {"m1": False, "m2": False}
     while host.writers:
         await asyncio.sleep(0.01)
     await asyncio.gather(*dripping)
@@ -793,7 +793,7 @@
 async def test_a_limit_that_ends_while_the_rest_of_an_answer_is_waited_for_keeps_what_its_head_proved() -> (
     None
 ):
-    """A refusal never ran; told as timed out, what may not be repeated would be given up."""
+    """A refused message never ran; reported as timed out, an unsafe one would be given up."""
     host = await serving(writes(b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n"))
     calls = Calls(host.port)
     call = calls.send("m1")
@@ -806,7 +806,7 @@
 
 
 async def test_a_call_that_is_given_up_is_reset_so_that_nothing_of_it_arrives_later() -> None:
-    """Behind a cut the system would go on to send a closed connection's bytes, also past a key's window."""
+    """After a cut the kernel would retransmit a closed connection's bytes, even past a key's window."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as sock:
         sock.setblocking(False)
@@ -821,37 +821,37 @@
 
 
 async def test_messages_of_one_call_are_told_as_called_off_once_it_is_closed() -> None:
-    """Right behind a hand-over, with a part of the answer there: told one by one, one would be sent again."""
+    """Right after a handover, with part of the answer read: ended one by one, one would be sent too early."""
     host = await serving(silent)
     calls = Calls(host.port)
     calls.send("m1", "m2")
     request = await host.call(0)
-    left, fds = calls.endpoint_calls.hand_over(10)
+    handover, fds = calls.endpoint_calls.hand_over(10)
     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-")
     await request.writer.drain()
     after = Calls(host.port)
-    open_when_told = dict[str, bool]()
+    open_when_settled = dict[str, bool]()
 
-    def settled(call: Call, part: Part, _told: PartOutcome) -> None:
+    def settled(call: Call, part: Part, _outcome: PartOutcome) -> None:
         assert call.connection is not None
-        open_when_told[part.id] = call.connection.sock.fileno() >= 0
+        open_when_settled[part.id] = call.connection.sock.fileno() >= 0
 
     after.endpoint_calls._on_settled = settled
-    after.endpoint_calls.take_over(left, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
+    after.endpoint_calls.take_over(handover, iter([socket.socket(fileno=os.dup(fd)) for fd in fds]))
     for ref in ("m1", "m2"):
         after.endpoint_calls.cancel(ref, 0)
-    while len(open_when_told) < 2:
+    while len(open_when_settled) < 2:
         await asyncio.sleep(0)
-    assert open_when_told["m2"] is False
+    assert open_when_settled["m2"] is False
     assert after.endpoint_calls.calls == set()
     host.stop()
 
 
 @pytest.mark.parametrize("how", ["called off", "timed out", "answered without an end"])
 async def test_a_call_ends_although_another_process_holds_a_copy_of_its_connection(how: str) -> None:
-    """One that was to take over and is held up has them already, and this process goes on as the relay."""
-    spoilt = b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n"
-    host = await serving(writes(spoilt) if how == "answered without an end" else silent)
+    """A successor that is stuck has the descriptors already, while this process goes on as the relay."""
+    incomplete = b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n"
+    host = await serving(writes(incomplete) if how == "answered without an end" else silent)
     calls = Calls(host.port)
     call = calls.send("m1", limit_us=300_000 if how == "timed out" else 20_000_000)
     request = await host.call(0)
