--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""A long list read and told by pieces: it comes to the same as in one go, and what binds comes first."""
+"""A long list parsed and applied in pieces has the same effect as at once, and urgent changes come first."""
 
 from __future__ import annotations
 
@@ -29,39 +29,40 @@
 PORT = 6379
 
 
-def told_host(name: str, health: str = "SERVING", block: int = 1) -> dict[str, Any]:
-    """A host in discovery's form."""
+def raw_endpoint(host: str, health: str = "SERVING", block: int = 1) -> dict[str, Any]:
+    """An endpoint in the directory's format."""
     dial = f"10.0.0.1:{PORT}"
-    return {"host": name, "dial": dial, "site": "a", "class": "plain", "block": block, "health": health}
+    return {"host": host, "dial": dial, "site": "a", "class": "plain", "block": block, "health": health}
 
 
-def listed(name: str, listing: api.Listing = api.Listing.READY, dest: int = 1) -> ListedEndpoint:
-    """A host as it is listed."""
-    return ListedEndpoint(entry(name, dest, listing=listing), ("10.0.0.1", PORT))
+def listed_endpoint(host: str, listing: api.Listing = api.Listing.READY, dest: int = 1) -> ListedEndpoint:
+    """An endpoint as it is listed."""
+    return ListedEndpoint(entry(host, dest, listing=listing), ("10.0.0.1", PORT))
 
 
-def read_by(line: bytes, most: int) -> DirectoryUpdate:
-    """A line read by so many hosts at a time."""
-    reader = IncrementalListParser(line)
-    while not reader.parse(most):
+def parse_by(line: bytes, max_endpoints: int) -> DirectoryUpdate:
+    """Parse a line up to so many endpoints at a time."""
+    parser = IncrementalListParser(line)
+    while not parser.parse(max_endpoints):
         pass
-    return reader.finish()
+    return parser.finish()
 
 
-hosts = st.lists(
-    st.builds(told_host, st.sampled_from("abcdefgh"), st.sampled_from(HEALTH), st.integers(0, 3)), max_size=12
+raw_endpoints = st.lists(
+    st.builds(raw_endpoint, st.sampled_from("abcdefgh"), st.sampled_from(HEALTH), st.integers(0, 3)),
+    max_size=12,
 )
 indents = st.sampled_from([None, 0, 1, 4])
 
 
-@given(hosts, st.booleans(), st.integers(1, 5), indents, st.permutations(["seq", "whole", "hosts"]))
+@given(raw_endpoints, st.booleans(), st.integers(1, 5), indents, st.permutations(["seq", "whole", "hosts"]))
 def test_a_line_read_by_parts_says_the_same(
-    some: list[dict[str, Any]], whole: bool, most: int, indent: int | None, order: list[str]
+    endpoints: list[dict[str, Any]], whole: bool, max_endpoints: int, indent: int | None, order: list[str]
 ) -> None:
-    """Whatever the order of its keys, indented or not, with a host that cannot be read."""
-    values = {"seq": 7, "whole": whole, "hosts": [*some, {"host": "unreadable"}, told_host("last")]}
+    """For any order of its keys, indented or not, with a malformed endpoint in it."""
+    values = {"seq": 7, "whole": whole, "hosts": [*endpoints, {"host": "unreadable"}, raw_endpoint("last")]}
     line = json.dumps({key: values[key] for key in order}, indent=indent).encode()
-    assert read_by(line, most) == parse_list(json.loads(line))
+    assert parse_by(line, max_endpoints) == parse_list(json.loads(line))
 
 
 @pytest.mark.parametrize(
@@ -73,14 +74,14 @@
     ],
 )
 def test_lines_unlike_the_usual_are_read_too(text: str) -> None:
-    assert read_by(text.encode(), 2) == DirectoryUpdate(1, True, ())
+    assert parse_by(text.encode(), 2) == DirectoryUpdate(1, True, ())
 
 
 def test_hosts_that_are_not_the_lines_own_do_not_count() -> None:
-    inner, outer = told_host("inner"), told_host("outer")
+    inner, outer = raw_endpoint("inner"), raw_endpoint("outer")
     raw = {"more": {"hosts": [inner]}, "seq": 1, "whole": True, "hosts": [outer]}
-    found = read_by(json.dumps(raw).encode(), 1)
-    assert [host.entry.host for host in found.endpoints] == ["outer"]
+    update = parse_by(json.dumps(raw).encode(), 1)
+    assert [endpoint.entry.host for endpoint in update.endpoints] == ["outer"]
 
 
 @pytest.mark.parametrize(
@@ -97,34 +98,34 @@
 )
 def test_what_is_no_list_raises(text: str) -> None:
     with pytest.raises(ValueError, match=r"."):
-        read_by(text.encode(), 2)
+        parse_by(text.encode(), 2)
 
 
 def test_a_reader_takes_no_more_hosts_at_a_time_than_it_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    line = json.dumps({"seq": 1, "whole": True, "hosts": [told_host(f"h{n}") for n in range(10)]}).encode()
-    reader, turns = IncrementalListParser(line), 1
-    while not reader.parse(3):
-        turns += 1
-    assert turns == 4
-    assert len(reader.finish().endpoints) == 10
+    line = json.dumps({"seq": 1, "whole": True, "hosts": [raw_endpoint(f"h{n}") for n in range(10)]}).encode()
+    parser, rounds = IncrementalListParser(line), 1
+    while not parser.parse(3):
+        rounds += 1
+    assert rounds == 4
+    assert len(parser.finish().endpoints) == 10
 
 
-listings = st.builds(
-    listed, st.sampled_from("abcdefgh"), st.sampled_from(list(api.Listing)), st.integers(0, 3)
+listed_endpoints = st.builds(
+    listed_endpoint, st.sampled_from("abcdefgh"), st.sampled_from(list(api.Listing)), st.integers(0, 3)
 )
 
 
-def follow(
-    feed: Callable[[Calls, Relay], None], known: list[ListedEndpoint]
+def apply_to_both(
+    apply: Callable[[Calls, Relay], None], known: list[ListedEndpoint]
 ) -> tuple[dict[str, ListedEndpoint], Any]:
-    """What the network code and the module hold after some news, with what they knew before."""
+    """Return the endpoints that EndpointCalls and the module hold after an update of those known before."""
     calls, module = Calls(1), Relay(settings(), 1)
     if known:
         calls.endpoint_calls.apply_update(DirectoryUpdate(1, True, tuple(known)))
         module.step(
             0, [api.EndpointUpdate(api.EndpointUpdateKind.CACHED, tuple(item.entry for item in known))]
         )
-    feed(calls, module)
+    apply(calls, module)
     ready = {
         host: (endpoint.listing, endpoint.dest, endpoint.joined_late, endpoint.quota)
         for host, endpoint in module.endpoints.items()
@@ -133,26 +134,33 @@
     return calls.endpoint_calls.endpoints, ready
 
 
-@given(st.lists(listings, max_size=8), st.lists(listings, max_size=8), st.booleans(), st.integers(1, 3))
+@given(
+    st.lists(listed_endpoints, max_size=8),
+    st.lists(listed_endpoints, max_size=8),
+    st.booleans(),
+    st.integers(1, 3),
+)
 async def test_pieces_come_to_the_same_as_the_news_at_once(
-    known: list[ListedEndpoint], hosts: list[ListedEndpoint], whole: bool, most: int
+    known: list[ListedEndpoint], endpoints: list[ListedEndpoint], whole: bool, max_size: int
 ) -> None:
-    """For the network code and for the module, also where nothing was known or nothing is left."""
+    """In EndpointCalls and in the module, also where nothing was known or nothing is left."""
     known = [item for item in known if item.entry.listing is not api.Listing.GONE]
-    news = DirectoryUpdate(2, whole, tuple(hosts))
+    update = DirectoryUpdate(2, whole, tuple(endpoints))
 
     def at_once(calls: Calls, module: Relay) -> None:
-        changes = {item.entry.host: item for item in hosts}  # of a host that is named twice the last counts
+        changes = {
+            item.entry.host: item for item in endpoints
+        }  # of an endpoint named twice the last entry counts
         entries = tuple(item.entry for item in changes.values())
-        calls.endpoint_calls.apply_update(news)
+        calls.endpoint_calls.apply_update(update)
         kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
         module.step(5_000, [api.EndpointUpdate(kind, entries)])
 
     def by_pieces(calls: Calls, module: Relay) -> None:
         for number, piece in enumerate(
-            split_changes(ordered_changes(news, calls.endpoint_calls.endpoints), most)
+            split_changes(ordered_changes(update, calls.endpoint_calls.endpoints), max_size)
         ):
-            assert len(piece) <= most
+            assert len(piece) <= max_size
             calls.endpoint_calls.apply_update(DirectoryUpdate(2, False, piece))
             entries = tuple(item.entry for item in piece)
             module.step(
@@ -160,20 +168,20 @@
                 [api.EndpointUpdate(api.EndpointUpdateKind.CHANGES, entries, number > 0)],
             )
 
-    assert follow(by_pieces, known) == follow(at_once, known)
+    assert apply_to_both(by_pieces, known) == apply_to_both(at_once, known)
 
 
-@given(st.lists(listings, max_size=12), st.lists(listings, max_size=12))
+@given(st.lists(listed_endpoints, max_size=12), st.lists(listed_endpoints, max_size=12))
 def test_what_goes_or_drains_comes_before_what_serves(
-    known: list[ListedEndpoint], hosts: list[ListedEndpoint]
+    known: list[ListedEndpoint], endpoints: list[ListedEndpoint]
 ) -> None:
     before = {item.entry.host: item for item in known if item.entry.listing is not api.Listing.GONE}
-    changes = ordered_changes(DirectoryUpdate(2, True, tuple(hosts)), before)
+    changes = ordered_changes(DirectoryUpdate(2, True, tuple(endpoints)), before)
     order = [item.entry.listing for item in changes]
-    urgency = [api.Listing.GONE, api.Listing.DRAINING, api.Listing.READY]
-    assert order == sorted(order, key=urgency.index)
+    priority = [api.Listing.GONE, api.Listing.DRAINING, api.Listing.READY]
+    assert order == sorted(order, key=priority.index)
     gone = {item.entry.host for item in changes if item.entry.listing is api.Listing.GONE}
-    assert before.keys() - {item.entry.host for item in hosts} <= gone
+    assert before.keys() - {item.entry.host for item in endpoints} <= gone
 
 
 def test_news_without_a_change_is_one_empty_piece() -> None:
