--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -148,9 +148,8 @@
     update = DirectoryUpdate(2, whole, tuple(endpoints))
 
     def at_once(calls: Calls, module: Relay) -> None:
-        changes = {
-            item.entry.host: item for item in endpoints
-        }  # of an endpoint named twice the last entry counts
+        # If an endpoint is named twice, its last entry counts.
+        changes = {item.entry.host: item for item in endpoints}
         entries = tuple(item.entry for item in changes.values())
         calls.endpoint_calls.apply_update(update)
         kind = api.EndpointUpdateKind.WHOLE if whole else api.EndpointUpdateKind.CHANGES
