--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets of the tests that take connections as a broken machine does."""
+"""Listening sockets that behave like those of a broken machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-FILLERS = 4  # connections that fill a backlog of 0
+FILLERS = 4  # connections, enough to fill a backlog of 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,18 +19,18 @@
 
     @property
     def port(self) -> int:
-        """Where it listens, on 127.0.0.1."""
+        """The port on 127.0.0.1."""
         return int(self.sock.getsockname()[1])
 
     def make_room(self) -> None:
-        """Further connections can come up."""
+        """Let further connections be accepted."""
         for filler in self.fillers:
             filler.close()
 
 
 @contextmanager
 def full_backlog() -> Iterator[FullBacklog]:
-    """A socket that takes no further connection, as a machine that is cut off."""
+    """Listen with a full backlog: connecting hangs, as to a machine that is cut off."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen(0)
