--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -39,15 +39,14 @@
 
     def __init__(self, config: Config) -> None:
         super().__init__(config.settings, config.seed)
-        # The listing of each entry, by step with a list update.
-        self.entries_by_step: list[list[Listing]] = []
+        self.listings: list[list[Listing]] = []  # of each entry, by step with a list update
 
     def step(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         """Record the entries, then take the step."""
         batch = list(events)
         news = [event for event in batch if isinstance(event, EndpointUpdate)]
         if news:
-            self.entries_by_step.append([entry.listing for event in news for entry in event.entries])
+            self.listings.append([entry.listing for event in news for entry in event.entries])
         return super().step(now_us, batch)
 
 
@@ -128,8 +127,8 @@
     driver = start_driver(world)
     await driver.until_known(ENDPOINTS)
     await driver.until_version(world.directory.seq)
-    assert max(map(len, driver.module.entries_by_step)) == ENDPOINTS_PER_PIECE
-    assert sum(map(len, driver.module.entries_by_step)) == ENDPOINTS
+    assert max(map(len, driver.module.listings)) == ENDPOINTS_PER_PIECE
+    assert sum(map(len, driver.module.listings)) == ENDPOINTS
     assert not any(endpoint.joined_late for endpoint in driver.module.endpoints.values()), (
         "all endpoints belong to the first list"
     )
@@ -152,7 +151,7 @@
     await driver.until_version(world.directory.seq)
     listed = {host for host, e in driver.module.endpoints.items() if e.listing is Listing.READY}
     assert listed == {host["host"] for host in raw_endpoints(3, name="u")}
-    assert max(map(len, driver.module.entries_by_step)) == ENDPOINTS_PER_PIECE
+    assert max(map(len, driver.module.listings)) == ENDPOINTS_PER_PIECE
     driver.close()
 
 
@@ -161,13 +160,13 @@
     set_list(world, raw_endpoints(ENDPOINTS))
     driver = start_driver(world)
     await driver.until_known(ENDPOINTS)
-    first = len(driver.module.entries_by_step)
+    first = len(driver.module.listings)
     set_list(world, raw_endpoints(ENDPOINTS))
     last = list(world.directory.hosts)[-1]
     world.directory.hosts[last] |= {"health": "DRAINING"}
     await send_whole_list(world, await world.directory.call(0))
     await driver.until_version(world.directory.seq)
-    pieces = driver.module.entries_by_step[first:]
+    pieces = driver.module.listings[first:]
     assert [piece.count(Listing.DRAINING) for piece in pieces[:2]] == [1, 0]
     assert driver.module.endpoints[last].listing is Listing.DRAINING
     driver.close()
@@ -184,8 +183,7 @@
     await driver.until_version(world.directory.seq)
     await driver.until_listed(changed["host"], Listing.DRAINING)
     assert driver.module.listed_count == ENDPOINTS
-    entries = [listing for piece in driver.module.entries_by_step for listing in piece]
-    assert entries.count(Listing.DRAINING) == 1
+    assert [listing for piece in driver.module.listings for listing in piece].count(Listing.DRAINING) == 1
     driver.close()
 
 
