--- a/tests/test_large_fleet_sizes.py
+++ b/tests/test_large_fleet_sizes.py
@@ -118,7 +118,7 @@
 async def test_waits_of_a_thousand_routes_are_independent() -> None:
     calls = Calls(1)
     news = tuple(ListedEndpoint(entry(f"h{n}", n, "banks"), ("127.0.0.1", 1)) for n in range(FLEET_SIZE))
-    calls.hosts.apply_update(DirectoryUpdate(1, True, news))
-    calls.hosts.restore_waits({f"h{n}": time.monotonic() + 60 for n in range(FLEET_SIZE)})
-    assert all(calls.hosts.remaining_wait_us(f"h{n}") for n in range(FLEET_SIZE))
-    assert len(calls.hosts.active_waits) == FLEET_SIZE
+    calls.endpoint_calls.apply_update(DirectoryUpdate(1, True, news))
+    calls.endpoint_calls.restore_waits({f"h{n}": time.monotonic() + 60 for n in range(FLEET_SIZE)})
+    assert all(calls.endpoint_calls.remaining_wait_us(f"h{n}") for n in range(FLEET_SIZE))
+    assert len(calls.endpoint_calls.active_waits) == FLEET_SIZE
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -103,7 +103,7 @@
     calls = Calls(host.port)
     calls.send("m1")
     await calls.outcome("m1")
-    assert calls.hosts.idle_count == 1
+    assert calls.endpoint_calls.idle_count == 1
     opened, failures = Connection.open, [OSError(errno.EMFILE, "none left")]
 
     async def short(address: tuple[str, int]) -> Connection:
@@ -113,10 +113,10 @@
 
     monkeypatch.setattr(Connection, "open", short)
     # As if the idle connection were another host's.
-    monkeypatch.setattr(calls.hosts._idle_pool, "take", lambda _host: None)
+    monkeypatch.setattr(calls.endpoint_calls._idle_pool, "take", lambda _host: None)
     calls.send("m2")
     assert (await calls.outcome("m2")).verdict is Verdict.OK
-    assert calls.hosts.connection_counts["gave way"] == 1
+    assert calls.endpoint_calls.connection_counts["gave way"] == 1
     host.stop()
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -381,5 +381,5 @@
 def test_timeouts_of_silent_connections_are_within_the_rules() -> None:
     """A notice is overdue after 300 ms, a change must be known after 6 s, a watch has a line every 2 s."""
     restart_s = 0.65 + 0.5  # the decision module's longest first gap, and a slow answer
-    assert discovery.POST_S[0] + discovery.AGAIN_S[0] < 0.3
+    assert discovery.FIRST_POST_TIMEOUT_S + discovery.FIRST_RETRY_DELAY_S < 0.3
     assert 2 < discovery.SILENCE_TIMEOUT_S < 6 - restart_s
