--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -66,24 +66,24 @@
     world: World, broken: Callable[[Request], None]
 ) -> None:
     world.settings["group_size"] = 230
-    world.directory.script.append(broken)
-    await world.run()
-    first = await world.directory.call(0)
-    host = await world.add("late")
-    again = await world.directory.call(1)
-    assert again.at_s - first.at_s < UPDATE_DEADLINE_S
-    assert await (await world.client()).hand_in("m1") == b"+OK"
-    assert (await host.call(0)).ids == ["m1"]
+    world.discovery.script.append(broken)
+    await world.start_relay()
+    first = await world.discovery.wait_request(0)
+    host = await world.add_host("late")
+    again = await world.discovery.wait_request(1)
+    assert again.received_s - first.received_s < UPDATE_DEADLINE_S
+    assert await (await world.connect_client()).submit("m1") == b"+OK"
+    assert (await host.wait_request(0)).refs == ["m1"]
 
 
 @pytest.mark.parametrize("size", GROUP_SIZES)
 async def test_a_discovery_that_is_back_is_asked_in_time(world: World, size: int) -> None:
     """It may be back right after a failed attempt, so attempts must be less than the deadline apart."""
     world.settings["group_size"] = size
-    world.directory.down = True
-    await world.run()
-    attempts = [await world.directory.call(number) for number in range(4)]
-    gaps_s = [later.at_s - sooner.at_s for sooner, later in pairwise(attempts)]
+    world.discovery.is_down = True
+    await world.start_relay()
+    attempts = [await world.discovery.wait_request(number) for number in range(4)]
+    gaps_s = [later.received_s - sooner.received_s for sooner, later in pairwise(attempts)]
     assert all(gap_s < UPDATE_DEADLINE_S for gap_s in gaps_s), gaps_s
 
 
@@ -91,26 +91,26 @@
 async def test_an_agent_that_was_silent_is_asked_again_before_its_news_bind(world: World, size: int) -> None:
     """Where lists are pushed, what the agent receives on its return binds at once, a drain 2 s later."""
     world.settings |= {"group_size": size, "discovery": "push"}
-    world.directory.script += [lambda _request: None, lambda request: request.answer(503)]
-    await world.run()
-    attempts = [await world.directory.call(number) for number in range(3)]
-    assert attempts[1].at_s - attempts[0].at_s < discovery.FIRST_LIST_TIMEOUT_S + 2
-    assert attempts[2].at_s - attempts[1].at_s < 2
+    world.discovery.script += [lambda _request: None, lambda request: request.answer(503)]
+    await world.start_relay()
+    attempts = [await world.discovery.wait_request(number) for number in range(3)]
+    assert attempts[1].received_s - attempts[0].received_s < discovery.FIRST_LIST_TIMEOUT_S + 2
+    assert attempts[2].received_s - attempts[1].received_s < 2
 
 
 @pytest.mark.parametrize("size", GROUP_SIZES)
 async def test_a_move_between_two_watches_is_followed_at_once(world: World, size: int) -> None:
     """After SIGHUP the list binds 4 s later, but the next attempt at the old address is far off."""
     world.settings["group_size"] = size
-    host = await world.add("h1")
-    world.directory.down = True
-    client = await world.run()
-    await world.directory.call(0)
+    host = await world.add_host("h1")
+    world.discovery.is_down = True
+    client = await world.start_relay()
+    await world.discovery.wait_request(0)
     moved_s = asyncio.get_running_loop().time()
-    await world.move()
-    assert (await world.directory.call(0)).at_s - moved_s < 4
-    await client.hand_in("m1")
-    assert (await host.call(0)).ids == ["m1"]
+    await world.move_discovery()
+    assert (await world.discovery.wait_request(0)).received_s - moved_s < 4
+    await client.submit("m1")
+    assert (await host.wait_request(0)).refs == ["m1"]
 
 
 @pytest.mark.parametrize("size", GROUP_SIZES)
@@ -135,18 +135,18 @@
 
 async def test_an_older_version_behind_a_newer_one_changes_nothing(world: World) -> None:
     """An update may arrive after a newer one: applied then, it would undo a drain."""
-    drained, other = await world.add("h1"), await world.add("h2")
-    client = await world.run()
-    request = await world.directory.call(0)
-    before = world.directory.seq
-    world.directory.change("h1", health="DRAINING")
-    world.directory.seq, after = before, world.directory.seq
-    world.directory.tell(request, False, [world.directory.hosts["h1"] | {"health": "SERVING"}])
-    world.directory.seq = after
-    marker = await world.add("h3", block=2)  # its being in force shows that the older update was read
-    assert await client.hand_in("m0", dest=2) == b"+OK"
-    await marker.call(0)
+    drained, other = await world.add_host("h1"), await world.add_host("h2")
+    client = await world.start_relay()
+    request = await world.discovery.wait_request(0)
+    before = world.discovery.seq
+    world.discovery.change_entry("h1", health="DRAINING")
+    world.discovery.seq, after = before, world.discovery.seq
+    world.discovery.send_line(request, False, [world.discovery.hosts["h1"] | {"health": "SERVING"}])
+    world.discovery.seq = after
+    marker = await world.add_host("h3", block=2)  # its being in force shows that the older update was read
+    assert await client.submit("m0", dest=2) == b"+OK"
+    await marker.wait_request(0)
     for number in range(1, 6):
-        assert await client.hand_in(f"m{number}") == b"+OK"
-        await other.call(number - 1)
-    assert drained.seen == []
+        assert await client.submit(f"m{number}") == b"+OK"
+        await other.wait_request(number - 1)
+    assert drained.requests == []
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -24,19 +24,19 @@
     shorten_windows(world)
     loop, received = asyncio.get_running_loop(), bytearray()
     with full_backlog() as full:
-        host = await world.add("h1")
-        client = await world.run()
+        host = await world.add_host("h1")
+        client = await world.start_relay()
 
         def reset(request: Request) -> None:
-            world.directory.change("h1", dial=f"127.0.0.1:{full.port}")
+            world.discovery.change_entry("h1", dial=f"127.0.0.1:{full.port}")
             request.reset()
 
         host.script.append(reset)
-        assert await client.hand_in("m1", "keyed", d=8000) == b"+OK"
-        first = await host.call(0)
+        assert await client.submit("m1", "keyed", d=8000) == b"+OK"
+        first = await host.wait_request(0)
 
         async def accept() -> None:
-            while loop.time() < first.at_s + WINDOW_S:
+            while loop.time() < first.received_s + WINDOW_S:
                 await asyncio.sleep(0.01)
             while True:
                 peer, _ = await loop.sock_accept(full.sock)
@@ -46,25 +46,25 @@
 
         full.make_room()
         accepting = asyncio.create_task(accept())
-        assert (await world.directory.notice("m1"))["result"] == "bounced"
+        assert (await world.discovery.wait_notice("m1"))["result"] == "bounced"
         accepting.cancel()
     assert not received
-    assert len(host.seen) == 1
+    assert len(host.requests) == 1
 
 
 async def test_a_window_that_passes_while_the_process_is_down_is_over(world: World) -> None:
     """The next life counts from the first attempt that may have run, by wall-clock time."""
     shorten_windows(world)
-    host = await world.add("h1", lambda _request: None)
-    client = await world.run()
-    assert await client.hand_in("m1", "keyed") == b"+OK"
-    first = await host.call(0)
+    host = await world.add_host("h1", lambda _request: None)
+    client = await world.start_relay()
+    assert await client.submit("m1", "keyed") == b"+OK"
+    first = await host.wait_request(0)
     await world.kill()
-    while asyncio.get_running_loop().time() < first.at_s + WINDOW_S:
+    while asyncio.get_running_loop().time() < first.received_s + WINDOW_S:
         await asyncio.sleep(0.01)
-    await world.run()
-    assert (await world.directory.notice("m1"))["result"] == "bounced"
-    assert len(host.seen) == 1
+    await world.start_relay()
+    assert (await world.discovery.wait_notice("m1"))["result"] == "bounced"
+    assert len(host.requests) == 1
 
 
 def test_a_repeat_carries_the_time_by_which_it_must_begin() -> None:
--- a/tools/cost/play.py
+++ b/tools/cost/play.py
@@ -16,7 +16,15 @@
 from pathlib import Path
 from typing import Any
 
-from standins.scripted import Client, Request, World, delivered, enqueue, packed, settings_json
+from standins.scripted import (
+    Client,
+    Request,
+    World,
+    deliver_all,
+    encode_command,
+    enqueue_words,
+    settings_json,
+)
 from tools.cost.reading import LOOK_S, CostError, Figures, Probe, Strace, Taken, taken
 
 READY_S = 20.0  # s for the first answer of a relay
@@ -113,8 +121,8 @@
         """An endpoint's reply that delivers everything in the call after a while."""
 
         def answer(request: Request) -> None:
-            self.ended.update(request.ids)
-            delivered(request)
+            self.ended.update(request.refs)
+            deliver_all(request)
 
         def reply(request: Request) -> None:
             asyncio.get_running_loop().call_later(delay_s, answer, request)
@@ -189,7 +197,7 @@
 
     async def clients(self, count: int = CONNECTIONS) -> list[Client]:
         """Clients' connections."""
-        return [await self.world.client() for _ in range(count)]
+        return [await self.world.connect_client() for _ in range(count)]
 
     async def hand_in(
         self, names: list[str], every_s: float, dests: Sequence[int] = (1,), body: bytes = b"hello"
@@ -202,8 +210,8 @@
         async def lane(number: int) -> None:
             for at in range(number, len(names), len(clients)):
                 await asyncio.sleep(max(0.0, start_s + at * every_s - loop.time()))
-                words = enqueue(names[at], "safe", 30_000, dests[at % len(dests)], body)
-                answer = await clients[number].raw(packed(*words))
+                words = enqueue_words(names[at], "safe", 30_000, dests[at % len(dests)], body)
+                answer = await clients[number].send_raw(encode_command(*words))
                 if answer != b"+OK":
                     raise CostError(f"the relay did not take {names[at]} on: {answer!r}")
 
@@ -218,7 +226,7 @@
 
     async def all_over(self, names: list[str]) -> None:
         """Wait until each of these is delivered or noticed, and the relay has had a moment to note it."""
-        notices = self.world.directory.notices
+        notices = self.world.discovery.notices
         await self.until(lambda: self.ended.union(n["ref"] for n in notices).issuperset(names))
         await asyncio.sleep(SETTLE_S)
 
--- a/tools/cost/scenarios.py
+++ b/tools/cost/scenarios.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from relay.journal import Journal, JournalFullError
-from standins.scripted import Request, packed, silent
+from standins.scripted import Request, encode_command, no_answer
 from tools.cost.play import Play, Scenario
 from tools.cost.reading import taken
 
@@ -30,7 +30,7 @@
 async def ready(play: Play, hosts: int, dests: int = 1) -> None:
     """A relay with its list, and a few messages behind it: what happens once only is over."""
     for number in range(hosts):
-        await play.world.add(f"h{number:03d}", play.served(), block=1 + number % dests)
+        await play.world.add_host(f"h{number:03d}", play.served(), block=1 + number % dests)
     await play.world.ready()
     warm = names("warm", 3 * min(dests, 10))
     for number, name in enumerate(warm):
@@ -60,7 +60,7 @@
     """Hundreds of messages held for a slow partner, which takes them on one after the other."""
     play.world.settings["domain"] |= {"calls_out": SLOW_SLOTS}
     await ready(play, 1)
-    play.world.hosts["h000"].default = play.served(SLOW_S)
+    play.world.hosts["h000"].default_reply = play.served(SLOW_S)
     some = names("held", HELD)
     await play.begin()
     await play.hand_in(some, 0.0)
@@ -78,7 +78,7 @@
     taken_on: Counter[int] = Counter()
 
     def limited(request: Request) -> None:
-        window = int(request.at_s * 1000 / WAIT_MS)
+        window = int(request.received_s * 1000 / WAIT_MS)
         taken_on[window] += 1
         if taken_on[window] > A_WINDOW:
             request.answer(429, X_Retry_In_Ms=str(WAIT_MS))
@@ -86,7 +86,7 @@
             served(request)
 
     for host in play.world.hosts.values():
-        host.default = limited
+        host.default_reply = limited
     some = names("r", TRAFFIC // 4)
     await play.begin()
     for clump in range(0, len(some), CLUMP):
@@ -114,7 +114,7 @@
     await play.begin()
     for name in some:
         words = (b"ENQUEUE", b"0" * 16, name.encode(), b"c=safe,t=a,d=30000,dest=1", b"x" * CUT_BYTES)
-        data = packed(*words)
+        data = encode_command(*words)
         for at in range(len(data)):
             client.writer.write(data[at : at + 1])
             await asyncio.sleep(0)  # each byte is a write of its own
@@ -137,7 +137,7 @@
 
 async def replay(play: Play) -> None:
     """A start over a folder that is as full as the relay lets it become."""
-    journal = Journal(play.world.state, int(play.world.disk_mb * 1_000_000))
+    journal = Journal(play.world.state_folder, int(play.world.disk_mb * 1_000_000))
     now_us = 4_000_000_000_000_000  # in the distant future: no message is out of its time
     fields = {"dest": 1, "cls": "safe", "deadline_us": now_us, "tenant": "t", "order": "", "key": ""}
     number = 0
@@ -155,7 +155,7 @@
 async def start(play: Play) -> None:
     """From the start of the process to its first answer."""
     for number in range(20):
-        await play.world.add(f"h{number:03d}", silent)
+        await play.world.add_host(f"h{number:03d}", no_answer)
     await play.world.ready()
     play.started(taken(play.pid).cpu_us)
 
