--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -25,7 +25,7 @@
 from fleetlab.scale import command as scaling
 from fleetlab.scale import plot
 from fleetlab.scale.records import ScaleError
-from fleetlab.scale.registry import subject_named
+from fleetlab.scale.registry import find_subject
 from fleetlab.sim import model, quorum
 from standins.records import HistoryError
 
@@ -305,19 +305,19 @@
     if subject == "list":
         scaling.list_subjects(Console())
         return
-    chosen = subject_named(subject)
+    chosen = find_subject(subject)
     earlier = scaling.load_report(against) if against is not None else None
     with interruptible(), progress_output() as say:
-        found = scaling.play(chosen, scaling.sizes_of(sizes, chosen), seed, say)
+        found = scaling.measure_sizes(chosen, scaling.parse_sizes(sizes, chosen), seed, say)
     if plot_file is not None:
         plot.write_plot(found, plot_file)
     if as_json:
         print(msgspec.json.encode(found).decode())
     else:
         console = Console(width=None if sys.stdout.isatty() else REPORT_WIDTH)
-        scaling.show(found, console)
+        scaling.print_report(found, console)
         if earlier is not None:
-            scaling.compare(earlier, found, console)
+            scaling.print_comparison(earlier, found, console)
     raise typer.Exit(EXIT_FAILED if found.left_out else EXIT_OK)
 
 
--- a/fleetlab/scale/child.py
+++ b/fleetlab/scale/child.py
@@ -17,11 +17,11 @@
 
 from fleetlab.scale.records import ScaleError
 
-STOP_S = 5.0  # s for the process to end by itself
+EXIT_TIMEOUT_S = 5.0  # s for the process to end by itself
 Answer = TypeVar("Answer", bound=msgspec.Struct)
 
 
-class Child(Generic[Answer]):
+class ChildProcess(Generic[Answer]):
     """A child's process as its parent sees it; it ends with the ``with`` block."""
 
     def __init__(self, module: str, arguments: list[str], answer: type[Answer]) -> None:
@@ -30,7 +30,7 @@
         self._process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self._decoder = msgspec.json.Decoder(answer)
 
-    def __enter__(self) -> Child[Answer]:
+    def __enter__(self) -> ChildProcess[Answer]:
         return self
 
     def __exit__(
@@ -39,13 +39,13 @@
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.close()
         try:
-            self._process.wait(STOP_S)
+            self._process.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._process.kill()
             self._process.wait()
         self._process.stdout.close()
 
-    def order(self, order: msgspec.Struct) -> Answer:
+    def request(self, order: msgspec.Struct) -> Answer:
         """Have an order carried out; ``ScaleError`` where the child is gone or gives no answer."""
         assert self._process.stdin is not None and self._process.stdout is not None
         try:
@@ -56,7 +56,7 @@
             raise ScaleError(f"{self._module}: no answer: {error}") from None
 
 
-async def carry_out(orders: Any, obey: Callable[[Any], msgspec.Struct]) -> None:
+async def serve_commands(orders: Any, obey: Callable[[Any], msgspec.Struct]) -> None:
     """The child's side: carry out each order of these types until the input ends."""
     decoder = msgspec.json.Decoder(orders)
     lines = asyncio.StreamReader()
--- a/fleetlab/scale/command.py
+++ b/fleetlab/scale/command.py
@@ -10,16 +10,16 @@
 from rich.table import Table
 
 from fleetlab.scale import machine
-from fleetlab.scale.fit import slopes
+from fleetlab.scale.fit import fit_figures
 from fleetlab.scale.records import Sample, ScaleError, ScaleReport
 from fleetlab.scale.registry import SUBJECTS
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.worker import measured
+from fleetlab.scale.worker import measure_in_process
 
-MOST_SIZES = 16
+MAX_SIZES = 16
 
 
-def sizes_of(text: str | None, subject: Subject) -> tuple[int, ...]:
+def parse_sizes(text: str | None, subject: Subject) -> tuple[int, ...]:
     """The sizes named between commas, or the subject's own; ``ScaleError`` where one cannot be used."""
     if text is None:
         return subject.sizes
@@ -27,12 +27,14 @@
         sizes = tuple(sorted({int(item) for item in text.split(",")}))
     except ValueError:
         raise ScaleError(f"--sizes: not whole numbers between commas: {text!r}") from None
-    if len(sizes) > MOST_SIZES:
-        raise ScaleError(f"--sizes: {len(sizes)} sizes, {MOST_SIZES} at most")
+    if len(sizes) > MAX_SIZES:
+        raise ScaleError(f"--sizes: {len(sizes)} sizes, {MAX_SIZES} at most")
     return sizes
 
 
-def play(subject: Subject, sizes: Sequence[int], seed: int, say: Callable[[str], None]) -> ScaleReport:
+def measure_sizes(
+    subject: Subject, sizes: Sequence[int], seed: int, say: Callable[[str], None]
+) -> ScaleReport:
     """Measure each size in turn, in a process of its own.
 
     A wrong size is refused before anything runs. A size that fails or takes too long is left out and named.
@@ -45,15 +47,15 @@
     for size in sizes:
         say(f"{subject.name}: {size} {subject.axis}")
         try:
-            samples.append(measured(subject, size, seed))
+            samples.append(measure_in_process(subject, size, seed))
         except ScaleError as error:
             left_out.append(str(error))
             say(str(error))
-    fits = slopes(samples, subject.target)
+    fits = fit_figures(samples, subject.target)
     return ScaleReport(subject.name, subject.about, subject.axis, tuple(samples), fits, tuple(left_out))
 
 
-def show(report: ScaleReport, console: Console) -> None:
+def print_report(report: ScaleReport, console: Console) -> None:
     """Print the readings by size, and the fit of each figure."""
     console.print(readings_table(report))
     console.print(fits_table(report))
@@ -91,7 +93,7 @@
     return table
 
 
-def compare(before: ScaleReport, after: ScaleReport, console: Console) -> None:
+def print_comparison(before: ScaleReport, after: ScaleReport, console: Console) -> None:
     """Print the readings of two reports side by side, size by size."""
     if before.subject != after.subject:
         raise ScaleError(f"--against: a report on {before.subject}, not on {after.subject}")
--- a/fleetlab/scale/counted_member.py
+++ b/fleetlab/scale/counted_member.py
@@ -15,15 +15,15 @@
 from membership.config import load
 from membership.messages import Exchange, Message
 
-SENT = "sent"
+SENT_FILE = "sent"
 
 
-def counted(path: Path) -> int:
+def run_member(path: Path) -> int:
     """Run the member; its exit code."""
     folder = Path(load(path).folder)
     folder.mkdir(parents=True, exist_ok=True)
     encode = wire.encode
-    with (folder / SENT).open("w", encoding="ascii", buffering=1) as sent:
+    with (folder / SENT_FILE).open("w", encoding="ascii", buffering=1) as sent:
 
         def noted(fleet: int, message: Message) -> bytes:
             data = encode(fleet, message)
@@ -35,10 +35,10 @@
             return main([str(path)])
 
 
-def sent_between(folder: Path, begun_us: int, ended_us: int) -> dict[str, list[int]]:
+def sizes_sent_between(folder: Path, begun_us: int, ended_us: int) -> dict[str, list[int]]:
     """Sizes in bytes of what a member sent in a time, by kind."""
     found: dict[str, list[int]] = {}
-    for line in (folder / SENT).read_text(encoding="ascii").splitlines():
+    for line in (folder / SENT_FILE).read_text(encoding="ascii").splitlines():
         at_us, kind, size = line.split()
         if begun_us <= int(at_us) < ended_us:
             found.setdefault(kind, []).append(int(size))
@@ -46,4 +46,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(counted(Path(sys.argv[1])))
+    sys.exit(run_member(Path(sys.argv[1])))
--- a/fleetlab/scale/counting_dict.py
+++ b/fleetlab/scale/counting_dict.py
@@ -12,7 +12,7 @@
 V = TypeVar("V")
 
 
-class CountedDict(dict[K, V]):
+class CountingDict(dict[K, V]):
     """Behaves as the dict that it copies; ``looks`` is the sum of look-ups, and of items walked over.
 
     A walk counts as a look at every item when it begins, also where it is broken off.
@@ -20,41 +20,41 @@
 
     def __init__(self, items: Mapping[K, V]) -> None:
         super().__init__(items)
-        self.looks = 0
+        self.accesses = 0
 
     def __getitem__(self, key: K) -> V:
-        self.looks += 1
+        self.accesses += 1
         return super().__getitem__(key)
 
     def __contains__(self, key: object) -> bool:
-        self.looks += 1
+        self.accesses += 1
         return super().__contains__(key)
 
     def get(self, key: K, default: Any = None) -> Any:
         """As in a dict; one look."""
-        self.looks += 1
+        self.accesses += 1
         return super().get(key, default)
 
     def setdefault(self, key: K, default: Any = None) -> Any:
         """As in a dict; one look."""
-        self.looks += 1
+        self.accesses += 1
         return super().setdefault(key, default)
 
     def __iter__(self) -> Iterator[K]:
-        self.looks += len(self)
+        self.accesses += len(self)
         return super().__iter__()
 
     def keys(self) -> dict_keys[K, V]:
         """As in a dict; a look at every item."""
-        self.looks += len(self)
+        self.accesses += len(self)
         return super().keys()
 
     def values(self) -> dict_values[K, V]:
         """As in a dict; a look at every item."""
-        self.looks += len(self)
+        self.accesses += len(self)
         return super().values()
 
     def items(self) -> dict_items[K, V]:
         """As in a dict; a look at every item."""
-        self.looks += len(self)
+        self.accesses += len(self)
         return super().items()
--- a/fleetlab/scale/directory.py
+++ b/fleetlab/scale/directory.py
@@ -17,42 +17,42 @@
 import msgspec
 
 from fleetlab.scale import endpoints
-from fleetlab.scale.child import Child, carry_out
+from fleetlab.scale.child import ChildProcess, serve_commands
 from fleetlab.scale.process import processor_seconds
 from standins import http
 from standins.platform import HEARTBEAT_S, EndpointEntry, write_chunk
 
 LOOPBACK = "127.0.0.1"
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-HOSTS = "/discovery/hosts"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HOSTS_PATH = "/discovery/hosts"
 
 
-class Change(msgspec.Struct, frozen=True, tag="change"):
+class SetHealth(msgspec.Struct, frozen=True, tag="change"):
     """An order: one endpoint has another health now, and all watches are told."""
 
     number: int
     health: str
 
 
-class Down(msgspec.Struct, frozen=True, tag="down"):
+class TakeDown(msgspec.Struct, frozen=True, tag="down"):
     """An order: open watches end, and new ones are refused until ``Up``."""
 
 
-class Up(msgspec.Struct, frozen=True, tag="up"):
+class BringUp(msgspec.Struct, frozen=True, tag="up"):
     """An order: serve watches again; ``resumes``: those that name a version get what changed after it."""
 
     resumes: bool
 
 
-class Hold(msgspec.Struct, frozen=True, tag="hold"):
+class HoldAnswers(msgspec.Struct, frozen=True, tag="hold"):
     """An order: leave new watches without an answer until ``Up``."""
 
 
-class Tell(msgspec.Struct, frozen=True, tag="tell"):
+class ReadCounts(msgspec.Struct, frozen=True, tag="tell"):
     """An order: do nothing but tell the counts."""
 
 
-Order = Change | Down | Up | Hold | Tell
+Command = SetHealth | TakeDown | BringUp | HoldAnswers | ReadCounts
 
 
 class Counts(msgspec.Struct):
@@ -71,16 +71,16 @@
     """The list, its versions and the open watches."""
 
     def __init__(self, size: int, seed: int) -> None:
-        self._entries = endpoints.entries(size, Random(seed))
-        self._seq = size
+        self._entries = endpoints.make_entries(size, Random(seed))
+        self._version = size
         self._changes: list[tuple[int, EndpointEntry]] = []  # version and what changed with it
-        self._whole: bytes | None = None  # of the present version, once a watch asked for it
+        self._cached_list_line: bytes | None = None  # of the present version, once a watch asked for it
         self._watches: set[asyncio.StreamWriter] = set()
-        self._up, self._resumes = True, True
-        self._answering = asyncio.Event()
-        self._answering.set()
+        self._is_up, self._resumes_by_version = True, True
+        self._may_answer = asyncio.Event()
+        self._may_answer.set()
         self._listener = http.Listener(LOOPBACK, self._serve)
-        self._counts = Counts(list_bytes=len(self._whole_line()))
+        self._counts = Counts(list_bytes=len(self._whole_list_line()))
 
     async def start(self) -> None:
         """Listen on a port of the system's choice."""
@@ -91,27 +91,27 @@
         """Refuse new connections and break the open ones."""
         self._listener.stop()
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Keep watches from falling silent, for good."""
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             for writer in self._watches:
                 write_chunk(writer, b"\n")
 
-    def obey(self, order: Order) -> Counts:
+    def execute(self, order: Command) -> Counts:
         """Carry out one order."""
         match order:
-            case Change():
+            case SetHealth():
                 self._change(self._entries[order.number], order.health)
-            case Down():
-                self._up = False
-                self._end_watches()
-            case Up():
-                self._up, self._resumes = True, order.resumes
-                self._answering.set()
-            case Hold():
-                self._answering.clear()
-            case Tell():
+            case TakeDown():
+                self._is_up = False
+                self._break_watches()
+            case BringUp():
+                self._is_up, self._resumes_by_version = True, order.resumes
+                self._may_answer.set()
+            case HoldAnswers():
+                self._may_answer.clear()
+            case ReadCounts():
                 pass
         self._counts.open_watches = len(self._watches)
         self._counts.processor_seconds = processor_seconds()
@@ -119,14 +119,14 @@
 
     def _change(self, entry: EndpointEntry, health: str) -> None:
         entry.health = health
-        self._seq += 1
-        self._changes.append((self._seq, entry))
-        line = endpoints.news_line(self._seq, False, [entry])
+        self._version += 1
+        self._changes.append((self._version, entry))
+        line = endpoints.encode_update(self._version, False, [entry])
         for writer in self._watches:
             self._write(writer, line)
-        self._whole = None
+        self._cached_list_line = None
 
-    def _end_watches(self) -> None:
+    def _break_watches(self) -> None:
         for writer in self._watches:
             http.reset_connection(writer.transport)
         self._watches.clear()
@@ -141,13 +141,13 @@
         if request is None:
             return
         target = urlsplit(request.target)
-        if target.path != HOSTS or not self._up:
-            writer.write(http.encode_response(404 if self._up else 503))
+        if target.path != HOSTS_PATH or not self._is_up:
+            writer.write(http.encode_response(404 if self._is_up else 503))
             return
-        await self._answering.wait()
+        await self._may_answer.wait()
         if reader.at_eof():  # it did not wait
             return
-        writer.write(HEAD)
+        writer.write(RESPONSE_HEAD)
         self._write(writer, self._first_line(int(parse_qs(target.query).get("from", ["0"])[0])))
         self._counts.watches += 1
         self._watches.add(writer)
@@ -156,31 +156,31 @@
         finally:
             self._watches.discard(writer)
 
-    def _whole_line(self) -> bytes:
+    def _whole_list_line(self) -> bytes:
         """The whole list in its present version, encoded once for all watches."""
-        if self._whole is None:
-            self._whole = endpoints.news_line(self._seq, True, self._entries)
-        return self._whole
+        if self._cached_list_line is None:
+            self._cached_list_line = endpoints.encode_update(self._version, True, self._entries)
+        return self._cached_list_line
 
     def _first_line(self, version: int) -> bytes:
         """What a watch from this version is told first."""
-        if not self._resumes or version < len(self._entries):
-            return self._whole_line()
+        if not self._resumes_by_version or version < len(self._entries):
+            return self._whole_list_line()
         changed = {entry.host: entry for seq, entry in self._changes if seq > version}
-        return endpoints.news_line(self._seq, False, list(changed.values()))
+        return endpoints.encode_update(self._version, False, list(changed.values()))
 
 
-def directory_process(size: int, seed: int) -> Child[Counts]:
+def start_directory(size: int, seed: int) -> ChildProcess[Counts]:
     """A hollow directory of its own process."""
-    return Child("fleetlab.scale.directory", [str(size), str(seed)], Counts)
+    return ChildProcess("fleetlab.scale.directory", [str(size), str(seed)], Counts)
 
 
 async def serve(size: int, seed: int) -> None:
     """Serve watches and orders until the input ends."""
     directory = Directory(size, seed)
     await directory.start()
-    beat = asyncio.create_task(directory.beat())
-    await carry_out(Order, directory.obey)
+    beat = asyncio.create_task(directory.send_heartbeats())
+    await serve_commands(Command, directory.execute)
     beat.cancel()
 
 
--- a/fleetlab/scale/event_loop_turns.py
+++ b/fleetlab/scale/event_loop_turns.py
@@ -6,21 +6,21 @@
 import time
 
 
-class TurnSelector(selectors.DefaultSelector):
+class LoopTimingSelector(selectors.DefaultSelector):
     """A selector that times what its loop does between two looks at the sockets."""
 
     def __init__(self) -> None:
         super().__init__()
         self._begun_s = time.perf_counter()
-        self.longest_s = 0.0  # of one turn, in real time
+        self.longest_iteration_s = 0.0  # of one turn, in real time
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget the turns so far; the present one counts from now."""
-        self._begun_s, self.longest_s = time.perf_counter(), 0.0
+        self._begun_s, self.longest_iteration_s = time.perf_counter(), 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """End a turn, wait for what comes, and begin the next turn."""
-        self.longest_s = max(self.longest_s, time.perf_counter() - self._begun_s)
+        self.longest_iteration_s = max(self.longest_iteration_s, time.perf_counter() - self._begun_s)
         ready = super().select(timeout)
         self._begun_s = time.perf_counter()
         return ready
--- a/fleetlab/scale/fit.py
+++ b/fleetlab/scale/fit.py
@@ -10,7 +10,7 @@
 from fleetlab.scale.records import Sample, Slope, Source
 
 
-def slopes(samples: Sequence[Sample], target: int) -> tuple[Slope, ...]:
+def fit_figures(samples: Sequence[Sample], target: int) -> tuple[Slope, ...]:
     """A fit for each figure that was read at two sizes or more, in the order of their first reading."""
     points: dict[str, list[tuple[int, float]]] = {}
     sources: dict[str, Source] = {}
@@ -19,13 +19,13 @@
             points.setdefault(reading.figure, []).append((sample.size, reading.value))
             sources[reading.figure] = reading.source
     return tuple(
-        fitted(figure, sources[figure], some, target)
+        fit_line(figure, sources[figure], some, target)
         for figure, some in points.items()
         if len({size for size, _ in some}) > 1
     )
 
 
-def fitted(figure: str, source: Source, points: Sequence[tuple[int, float]], target: int) -> Slope:
+def fit_line(figure: str, source: Source, points: Sequence[tuple[int, float]], target: int) -> Slope:
     """The line with the least squared error through the points, and what it gives at the target."""
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points], dtype=float)
@@ -39,7 +39,7 @@
         sizes=tuple(int(size) for size in sizes),
         slope=slope,
         intercept=intercept,
-        exponent=exponent(points),
+        exponent=growth_exponent(points),
         error=deviation / largest if largest else 0.0,
         target=target,
         at_target=sum(measured) / len(measured) if measured else intercept + slope * target,
@@ -47,7 +47,7 @@
     )
 
 
-def exponent(points: Sequence[tuple[int, float]]) -> float:
+def growth_exponent(points: Sequence[tuple[int, float]]) -> float:
     """The power of size by which a figure grows, over the upper half of the sizes; 0 if never above 0.
 
     Constant costs hide growth at small sizes, so only the upper half tells what comes beyond them.
--- a/fleetlab/scale/machine.py
+++ b/fleetlab/scale/machine.py
@@ -7,7 +7,7 @@
 from fleetlab.scale.records import ScaleError
 from fleetlab.scale.subject import Subject
 
-MEMORY_SHARE = 0.5
+MAX_MEMORY_SHARE = 0.5
 MIB = 1 << 20
 
 
@@ -21,7 +21,7 @@
     if size < 1:
         raise ScaleError(f"{subject.name}: size {size}: must be at least 1")
     needed = subject.memory_bytes(size)
-    allowed = int(MEMORY_SHARE * machine_bytes)
+    allowed = int(MAX_MEMORY_SHARE * machine_bytes)
     if needed > allowed:
         raise ScaleError(
             f"{subject.name}: size {size}: needs about {needed // MIB} MiB, "
--- a/fleetlab/scale/plot.py
+++ b/fleetlab/scale/plot.py
@@ -12,7 +12,7 @@
 
 COLUMNS = 3
 WIDTH_INCHES, HEIGHT_INCHES = 4.2, 3.2
-LINE_POINTS = 60  # of a fit: a straight line is curved on logarithmic axes
+POINTS_PER_FIT = 60  # of a fit: a straight line is curved on logarithmic axes
 
 
 def write_plot(report: ScaleReport, path: Path) -> None:
@@ -35,7 +35,7 @@
         if reading.figure == slope.figure
     ]
     axes.plot([size for size, _ in points], [value for _, value in points], "o")
-    sizes = np.geomspace(min(slope.sizes), max(*slope.sizes, slope.target), LINE_POINTS)
+    sizes = np.geomspace(min(slope.sizes), max(*slope.sizes, slope.target), POINTS_PER_FIT)
     axes.plot(sizes, slope.intercept + slope.slope * sizes, "-", linewidth=1)
     axes.axvline(slope.target, linestyle="--", linewidth=1, color="#999999")
     axes.set_xscale("log")
--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -8,12 +8,12 @@
 
 from relay.resource_usage import read_memory_bytes
 
-OWN_FOLDER = Path("/proc/self")
+OWN_PROC_FOLDER = Path("/proc/self")
 
 
 def resident_bytes() -> int:
     """Memory that this process holds now, by the system's accounting."""
-    return read_memory_bytes(OWN_FOLDER)["VmRSS"]
+    return read_memory_bytes(OWN_PROC_FOLDER)["VmRSS"]
 
 
 def processor_seconds() -> float:
@@ -21,7 +21,7 @@
     return time.process_time()
 
 
-def freeze() -> None:
+def exclude_objects_from_gc() -> None:
     """Spare what there is now from collections of garbage.
 
     Many hollow parts stand in one process; a process of one part would not look through all others' objects.
--- a/fleetlab/scale/programs.py
+++ b/fleetlab/scale/programs.py
@@ -9,11 +9,11 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-PAGE_S = 5.0
+HTTP_TIMEOUT_S = 5.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def network() -> str:
+def random_loopback_prefix() -> str:
     """The first three numbers of an address range on loopback that is drawn, so that two runs do not meet."""
     return ".".join(["127", *(str(secrets.randbelow(250) + 2) for _ in range(2))])
 
@@ -47,12 +47,12 @@
         return process.pid
 
 
-def used_seconds(processes: Sequence[int]) -> float:
+def processor_seconds_of(processes: Sequence[int]) -> float:
     """Processor time of some processes so far, in user and system mode, in seconds."""
-    return sum(_ticks(number) for number in processes) / TICKS_PER_S
+    return sum(_processor_ticks(number) for number in processes) / TICKS_PER_S
 
 
-def _ticks(number: int) -> int:
+def _processor_ticks(number: int) -> int:
     fields = Path(f"/proc/{number}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     return int(fields[11]) + int(fields[12])
 
@@ -63,9 +63,9 @@
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-async def page(host: str, port: int, path: str) -> bytes:
+async def fetch_page(host: str, port: int, path: str) -> bytes:
     """A page of an operators' address; ``OSError`` or ``TimeoutError`` where there is none."""
-    async with asyncio.timeout(PAGE_S):
+    async with asyncio.timeout(HTTP_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(host, port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -74,10 +74,10 @@
             writer.close()
 
 
-async def counters(host: str, port: int) -> dict[str, float]:
+async def fetch_metrics(host: str, port: int) -> dict[str, float]:
     """The figures of ``/metrics``, by name with labels; empty where nobody answers yet."""
     try:
-        text = (await page(host, port, "/metrics")).decode()
+        text = (await fetch_page(host, port, "/metrics")).decode()
     except (OSError, TimeoutError):
         return {}
     pairs = [line.rpartition(" ") for line in text.splitlines() if line and not line.startswith("#")]
--- a/fleetlab/scale/registry.py
+++ b/fleetlab/scale/registry.py
@@ -30,7 +30,7 @@
     destinations.FEW_SLOTS,
     fleet_outage.SUBJECT,
     backlog.SUBJECT,
-    backlog.ONE_SUBJECT,
+    backlog.MOSTLY_ONE_SUBJECT,
     replay_process.SUBJECT,
     replacement.SUBJECT,
     members.SUBJECT,
@@ -42,7 +42,7 @@
 SUBJECTS = {subject.name: subject for subject in ALL_SUBJECTS}
 
 
-def subject_named(name: str) -> Subject:
+def find_subject(name: str) -> Subject:
     """The subject; ``ScaleError`` where there is none of that name."""
     if (subject := SUBJECTS.get(name)) is None:
         raise ScaleError(f"no subject is called {name!r}; there are {', '.join(SUBJECTS)}")
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from fleetlab.scale.held_load import DOWN, settings
+from fleetlab.scale.held_load import DOWN_COUNT, make_settings
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import ScaleError
 from relay.config import Config
@@ -19,9 +19,9 @@
 from relay.journal import Journal
 from relay.resource_usage import read_memory_bytes
 
-NOWHERE = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
-ROOM = 1_000_000  # messages more than recovered, which a relay may hold
-MOST_SECONDS = 110.0
+UNUSED_ADDRESS = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
+SPARE_MESSAGES = 1_000_000  # messages more than recovered, which a relay may hold
+TIMEOUT_S = 110.0
 
 
 class Replay(msgspec.Struct, frozen=True):
@@ -36,30 +36,30 @@
     after_bytes: int  # resident, with all taken up
 
 
-def config(folder: Path, disk_bytes: int, messages: int) -> Config:
+def make_config(folder: Path, disk_bytes: int, messages: int) -> Config:
     """A relay that may hold them all, with no endpoint listed."""
     return Config(
         name="relay",
-        listen=NOWHERE,
-        discovery=NOWHERE,
+        listen=UNUSED_ADDRESS,
+        discovery=UNUSED_ADDRESS,
         state_dir=folder,
         seed=1,
-        settings=settings(hold_cap=messages + ROOM),
+        settings=make_settings(hold_cap=messages + SPARE_MESSAGES),
         connect_timeout_us=1_000_000,
         disk_bytes=disk_bytes,
-        max_sockets=4 * DOWN,
+        max_sockets=4 * DOWN_COUNT,
         memory_bytes=1 << 40,
         initial_hosts=DirectoryUpdate(0, True, ()),
     )
 
 
-async def replay(folder: Path, disk_bytes: int) -> Replay:
+async def measure_replay(folder: Path, disk_bytes: int) -> Replay:
     """Start the relay's own parts; they are closed before the loop turns, so nobody is called."""
     before_bytes, begun_s = resident_bytes(), time.monotonic()
     journal = Journal(folder, disk_bytes)
     journal_s = time.monotonic() - begun_s
     peak_bytes, recovered = read_memory_bytes(Path("/proc/self"))["VmHWM"], len(journal.recovered)
-    driver = Driver(config(folder, disk_bytes, recovered), journal, _broken)
+    driver = Driver(make_config(folder, disk_bytes, recovered), journal, _raise_error)
     begun_s = time.monotonic()
     driver.start()
     take_up_s = time.monotonic() - begun_s
@@ -68,19 +68,19 @@
     return Replay(recovered, held, journal_s, take_up_s, before_bytes, peak_bytes, after_bytes)
 
 
-def _broken(error: BaseException) -> None:
+def _raise_error(error: BaseException) -> None:
     raise error
 
 
-def replayed(folder: Path, disk_bytes: int) -> Replay:
+def replay_in_process(folder: Path, disk_bytes: int) -> Replay:
     """The same in a fresh process, whose memory is its own; ``ScaleError`` where it fails."""
     command = [sys.executable, "-m", "fleetlab.scale.replay", str(folder), str(disk_bytes)]
     try:
-        done = subprocess.run(command, capture_output=True, timeout=MOST_SECONDS, check=True)
+        done = subprocess.run(command, capture_output=True, timeout=TIMEOUT_S, check=True)
     except (subprocess.TimeoutExpired, subprocess.CalledProcessError) as error:
         raise ScaleError(f"replay of {folder}: {error}") from None
     return msgspec.json.decode(done.stdout, type=Replay)
 
 
 if __name__ == "__main__":
-    print(msgspec.json.encode(asyncio.run(replay(Path(sys.argv[1]), int(sys.argv[2])))).decode())
+    print(msgspec.json.encode(asyncio.run(measure_replay(Path(sys.argv[1]), int(sys.argv[2])))).decode())
--- a/fleetlab/scale/simulated_load.py
+++ b/fleetlab/scale/simulated_load.py
@@ -7,45 +7,45 @@
 from fleetlab.sim.settled import SettledSim
 from membership.core import SECOND_US
 
-EXCHANGE = "Exchange"
+EXCHANGE_KIND = "Exchange"
 
 
-class Load:
+class LoadCounter:
     """Counts from its creation on."""
 
     def __init__(self, sim: SettledSim) -> None:
         self._sim = sim
-        self._begun_us, self._begun_s = sim.world.now_us, processor_seconds()
+        self._begun_us, self._begun_processor_s = sim.world.now_us, processor_seconds()
         self._sent, self._bytes, self._updates = sim.sent.copy(), sim.bytes.copy(), dict(sim.updates)
-        self._bytes_by = sim.bytes_by.copy()
-        self._changes, self._suspicions = sim.changes, self._looked_at()
+        self._bytes_by_member = sim.bytes_by.copy()
+        self._changes, self._suspicion_checks = sim.changes, self._count_suspicion_checks()
 
-    def _looked_at(self) -> int:
+    def _count_suspicion_checks(self) -> int:
         return sum(core.suspicions_looked_at for core in self._sim.cores())
 
-    def _most_bytes(self) -> int:
+    def _max_member_bytes(self) -> int:
         """Sent by the member that sent most."""
-        return max((self._sim.bytes_by - self._bytes_by).values(), default=0)
+        return max((self._sim.bytes_by - self._bytes_by_member).values(), default=0)
 
     def readings(self, phase: str) -> list[Reading]:
         """Each figure begins with the phase; ``member_second`` means: a member that is up, and second."""
         sim = self._sim
         seconds = (sim.world.now_us - self._begun_us) / SECOND_US
         member_seconds = len(sim.cores()) * seconds
-        processor_s = processor_seconds() - self._begun_s
+        processor_s = processor_seconds() - self._begun_processor_s
         messages, sent_bytes = sim.sent - self._sent, sim.bytes - self._bytes
-        datagrams = messages.total() - messages[EXCHANGE]
+        datagrams = messages.total() - messages[EXCHANGE_KIND]
         updates = sum(count - self._updates.get(name, 0) for name, count in sim.updates.items())
-        datagram_updates = updates - (sim.updates[EXCHANGE] - self._updates.get(EXCHANGE, 0))
+        datagram_updates = updates - (sim.updates[EXCHANGE_KIND] - self._updates.get(EXCHANGE_KIND, 0))
         per_member_second = {
             "datagrams": float(datagrams),
-            "datagram_bytes": float(sent_bytes.total() - sent_bytes[EXCHANGE]),
-            "exchanges": float(messages[EXCHANGE]),
-            "exchange_bytes": float(sent_bytes[EXCHANGE]),
+            "datagram_bytes": float(sent_bytes.total() - sent_bytes[EXCHANGE_KIND]),
+            "exchanges": float(messages[EXCHANGE_KIND]),
+            "exchange_bytes": float(sent_bytes[EXCHANGE_KIND]),
             "sent_bytes": float(sent_bytes.total()),
             "updates": float(datagram_updates),
             "changes": float(sim.changes - self._changes),
-            "suspicions_looked_at": float(self._looked_at() - self._suspicions),
+            "suspicions_looked_at": float(self._count_suspicion_checks() - self._suspicion_checks),
         }
         return [
             Reading(f"{phase}_seconds", seconds),
@@ -53,7 +53,7 @@
                 Reading(f"{phase}_member_second_{name}", value / member_seconds)
                 for name, value in per_member_second.items()
             ),
-            Reading(f"{phase}_busiest_member_second_sent_bytes", self._most_bytes() / seconds),
+            Reading(f"{phase}_busiest_member_second_sent_bytes", self._max_member_bytes() / seconds),
             Reading(
                 f"{phase}_member_second_processor_microseconds",
                 1e6 * processor_s / member_seconds,
--- a/fleetlab/scale/subject.py
+++ b/fleetlab/scale/subject.py
@@ -7,7 +7,7 @@
 
 from fleetlab.scale.records import Reading
 
-Measure = Callable[[int, int], list[Reading]]  # size and seed give the readings
+MeasureFunction = Callable[[int, int], list[Reading]]  # size and seed give the readings
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,5 +24,5 @@
     sizes: tuple[int, ...]  # measured if none are named
     target: int  # the size that the design has to carry
     memory_bytes: Callable[[int], int]  # an upper estimate of what the measurement needs
-    measure: Measure
-    seconds: float = 120.0  # after which a measurement at one size is ended
+    measure: MeasureFunction
+    timeout_s: float = 120.0  # after which a measurement at one size is ended
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -13,38 +13,38 @@
 
 from decisions.interface import Event
 from fleetlab.scale.held_load import (
-    DESTINATIONS,
-    DOWN,
-    ONE,
-    SPREAD,
+    DESTINATION_COUNT,
+    DOWN_COUNT,
+    EVENLY_SPREAD,
+    MOSTLY_ONE,
     START_US,
     Placement,
-    backlog,
-    message,
+    make_backlog,
+    make_message,
     reserved_bytes,
 )
 from fleetlab.scale.process import processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
-from fleetlab.scale.replay import replayed
-from fleetlab.scale.simulated_module import STEP_US, HollowModule, lines_run
+from fleetlab.scale.replay import replay_in_process
+from fleetlab.scale.simulated_module import STEP_INTERVAL_US, SimulatedModule, count_executed_lines
 from fleetlab.scale.subject import Subject
 from relay.driver import HeldMessage
 from relay.journal import BLOCK_BYTES, Attempt, Journal
 
 BYTES_PER_MESSAGE = 6_000  # upper estimate of memory: this process and the one that replays
-BYTES_OF_LIST = 300_000_000  # the same for the module's 31,000 destinations
-CHURN = 2_000  # messages that come and are delivered while the backlog stands
-AMPLE_BYTES, SPARE_BYTES = 4_000, 1 << 24  # of disk: for each message, and beside
-BATCH = 1_000  # arrivals in a step while the backlog builds up
+LIST_BYTES = 300_000_000  # the same for the module's 31,000 destinations
+CHURN_MESSAGES = 2_000  # messages that come and are delivered while the backlog stands
+AMPLE_BYTES_PER_MESSAGE, AMPLE_BASE_BYTES = 4_000, 1 << 24  # of disk: for each message, and beside
+ARRIVALS_PER_STEP = 1_000  # arrivals in a step while the backlog builds up
 ROUND_US = 5_000
-TRAFFIC_STEPS, TRAFFIC = 500, 7  # steps of ordinary traffic, and arrivals in each: 350 a second
+TRAFFIC_STEPS, TRAFFIC_ARRIVALS = 500, 7  # steps of ordinary traffic, and arrivals in each: 350 a second
 QUIET_STEPS = 10  # in which all calls out are answered
-LOOKS = 100  # single events that are timed
+TIMED_EVENTS = 100  # single events that are timed
 RECOVERY_STEPS, COUNTED_STEPS = 300, 20  # steps of delivery that are timed; whose lines are counted after
-MICROSECONDS = 1e6
+MICROSECONDS_PER_S = 1e6
 
 
-class WatchedJournal(Journal):
+class MeasuredJournal(Journal):
     """The journal as it is, with how often it tried a compaction and the longest one."""
 
     compactions, longest_s = 0, 0.0
@@ -56,7 +56,7 @@
         self.longest_s = max(self.longest_s, time.perf_counter() - begun_s)
 
 
-def disk_bytes(messages: list[HeldMessage], record_bytes: int) -> int:
+def required_disk_bytes(messages: list[HeldMessage], record_bytes: int) -> int:
     """The disk that a relay must be given to accept messages with so many bytes of records.
 
     Old and new log stand side by side during a compaction, each with room for what may be said later.
@@ -64,12 +64,12 @@
     return 2 * (record_bytes + sum(map(reserved_bytes, messages)) + BLOCK_BYTES) + 4 * BLOCK_BYTES
 
 
-def ample_bytes(count: int) -> int:
+def ample_disk_bytes(count: int) -> int:
     """A disk on which so many messages never come near the budget."""
-    return AMPLE_BYTES * count + SPARE_BYTES
+    return AMPLE_BYTES_PER_MESSAGE * count + AMPLE_BASE_BYTES
 
 
-def fill(journal: Journal, messages: list[HeldMessage]) -> float:
+def accept_all(journal: Journal, messages: list[HeldMessage]) -> float:
     """Accept all of them; the seconds that it took."""
     begun_s = time.perf_counter()
     for held in messages:
@@ -77,37 +77,41 @@
     return time.perf_counter() - begun_s
 
 
-def churn(journal: Journal, random: Random, count: int) -> None:
+def run_churn(journal: Journal, random: Random, count: int) -> None:
     """Messages that are accepted, tried and over one after the other, beside what stays."""
     for number in range(count):
-        held = message(number, DESTINATIONS - 1, START_US, random)
+        held = make_message(number, DESTINATION_COUNT - 1, START_US, random)
         name = held.message.id
         journal.accept(name, held.message.fields, held.body)
         journal.record_attempts([(name, Attempt(0, "s-30999", "east-1", number))])
         journal.record_over(name)
 
 
-def journal_readings(
-    journal: WatchedJournal, folder: Path, messages: list[HeldMessage], seed: int, churned: int = CHURN
+def measure_journal(
+    journal: MeasuredJournal,
+    folder: Path,
+    messages: list[HeldMessage],
+    seed: int,
+    churned: int = CHURN_MESSAGES,
 ) -> list[Reading]:
     """Accept, replay, and traffic beside the backlog, with the real journal."""
     before_bytes = resident_bytes()
-    accept_s = fill(journal, messages)
+    accept_s = accept_all(journal, messages)
     record_bytes, writes = journal.written_bytes, journal.write_count
     kept_bytes = resident_bytes() - before_bytes
-    restart = replayed(folder, ample_bytes(len(messages)))
-    churn(journal, Random(seed + 1), churned)
+    restart = replay_in_process(folder, ample_disk_bytes(len(messages)))
+    run_churn(journal, Random(seed + 1), churned)
     churn_bytes = journal.written_bytes - record_bytes
     compactions, longest_s = journal.compactions, journal.longest_s
     return [
         Reading("journal_bytes", record_bytes),
         Reading("journal_writes", writes),
-        Reading("disk_needed_bytes", disk_bytes(messages, record_bytes)),
+        Reading("disk_needed_bytes", required_disk_bytes(messages, record_bytes)),
         Reading("recovered_messages", restart.recovered),
         Reading("held_after_restart_messages", restart.held),
         Reading("churn_compactions", compactions),
         Reading("churn_per_message_bytes", churn_bytes / churned),
-        Reading("accept_microseconds", accept_s / len(messages) * MICROSECONDS, Source.TIMED),
+        Reading("accept_microseconds", accept_s / len(messages) * MICROSECONDS_PER_S, Source.TIMED),
         Reading("journal_resident_bytes", kept_bytes, Source.TIMED),
         Reading("compaction_seconds", longest_s, Source.TIMED),
         Reading("replay_seconds", restart.journal_seconds, Source.TIMED),
@@ -118,99 +122,105 @@
     ]
 
 
-def build_up(module: HollowModule, messages: list[HeldMessage]) -> None:
+def add_backlog(module: SimulatedModule, messages: list[HeldMessage]) -> None:
     """Hand the backlog in, many messages to a step."""
-    for start in range(0, len(messages), BATCH):
-        module.advance(ROUND_US, [module.arrival(held) for held in messages[start : start + BATCH]])
+    for start in range(0, len(messages), ARRIVALS_PER_STEP):
+        module.advance(
+            ROUND_US, [module.arrival(held) for held in messages[start : start + ARRIVALS_PER_STEP]]
+        )
 
 
-def traffic_events(module: HollowModule, random: Random) -> Callable[[], list[Event]]:
+def make_traffic(module: SimulatedModule, random: Random) -> Callable[[], list[Event]]:
     """What makes the arrivals of one step of ordinary traffic."""
 
     def some() -> list[Event]:
-        numbers = range(TRAFFIC)
-        fresh = (message(n, random.randrange(DESTINATIONS), module.now_us, random) for n in numbers)
+        numbers = range(TRAFFIC_ARRIVALS)
+        fresh = (make_message(n, random.randrange(DESTINATION_COUNT), module.now_us, random) for n in numbers)
         return [module.arrival(held) for held in fresh]
 
     return some
 
 
-def traffic(module: HollowModule, random: Random) -> list[float]:
+def run_traffic(module: SimulatedModule, random: Random) -> list[float]:
     """Ordinary messages for all destinations; the processor seconds of each step."""
-    some = traffic_events(module, random)
-    return [module.advance(STEP_US, some()) for _ in range(TRAFFIC_STEPS)]
+    some = make_traffic(module, random)
+    return [module.advance(STEP_INTERVAL_US, some()) for _ in range(TRAFFIC_STEPS)]
 
 
-def full_step(module: HollowModule, random: Random) -> tuple[float, int]:
+def measure_full_step(module: SimulatedModule, random: Random) -> tuple[float, int]:
     """Processor seconds of the step with the arrival that fills the relay, and how many were given up."""
     for _ in range(QUIET_STEPS):
-        module.advance(STEP_US)  # calls that will be answered would make room
-    module.fill_up()
-    before, last = len(module.held), message(0, DESTINATIONS - 1, module.now_us, random)
+        module.advance(STEP_INTERVAL_US)  # calls that will be answered would make room
+    module.leave_room_for_one()
+    before, last = len(module.held), make_message(0, DESTINATION_COUNT - 1, module.now_us, random)
     seconds = module.advance(ROUND_US, [module.arrival(last)])
     return seconds, before + 1 - len(module.held)
 
 
-def single_events(module: HollowModule, random: Random, destination: int) -> tuple[float, float]:
+def measure_single_events(module: SimulatedModule, random: Random, destination: int) -> tuple[float, float]:
     """Median processor seconds of a step with one arrival, and of one with a call's end."""
     arrivals, ends = [], []
-    for number in range(LOOKS):
-        held = message(number, destination, module.now_us, random)
+    for number in range(TIMED_EVENTS):
+        held = make_message(number, destination, module.now_us, random)
         arrivals.append(module.advance(ROUND_US, [module.arrival(held)]))
-        ends.append(module.advance(max(ROUND_US, module.next_us - module.now_us)))
+        ends.append(module.advance(max(ROUND_US, module.next_outcome_us - module.now_us)))
     return statistics.median(arrivals), statistics.median(ends)
 
 
-def module_readings(held: dict[str, HeldMessage], seed: int) -> list[Reading]:
+def measure_module(held: dict[str, HeldMessage], seed: int) -> list[Reading]:
     """The module at that backlog: memory, and what its steps cost."""
     random = Random(seed + 2)
     messages = list(held.values())
-    module = HollowModule(held, hold_cap=2 * len(messages) + 1_000_000, seed=seed)
+    module = SimulatedModule(held, hold_cap=2 * len(messages) + 1_000_000, seed=seed)
     before_bytes = resident_bytes()
-    build_up(module, messages)
+    add_backlog(module, messages)
     kept_bytes = resident_bytes() - before_bytes
-    steps = traffic(module, random)
-    arrival_s, outcome_s = single_events(module, random, DESTINATIONS - 1)
-    held_s, _ = single_events(module, random, 0)
-    some = traffic_events(module, random)
-    lines = lines_run(lambda: [module.advance(STEP_US, some()) for _ in range(LOOKS)])
-    module.wait_for_status()
-    status_lines = lines_run(lambda: module.advance(STEP_US))
-    module.wait_for_status()
-    module.advance(STEP_US)
-    open_messages = module.relay.open_messages
-    full_s, given_up = full_step(module, random)
-    recovery = recover(module)
+    steps = run_traffic(module, random)
+    arrival_s, outcome_s = measure_single_events(module, random, DESTINATION_COUNT - 1)
+    held_s, _ = measure_single_events(module, random, 0)
+    some = make_traffic(module, random)
+    lines = count_executed_lines(
+        lambda: [module.advance(STEP_INTERVAL_US, some()) for _ in range(TIMED_EVENTS)]
+    )
+    module.advance_to_status()
+    status_lines = count_executed_lines(lambda: module.advance(STEP_INTERVAL_US))
+    module.advance_to_status()
+    module.advance(STEP_INTERVAL_US)
+    open_messages = module.engine.open_messages
+    full_s, given_up = measure_full_step(module, random)
+    recovery = measure_recovery(module)
     begun_s = processor_seconds()
     gc.collect()
     collection_s = processor_seconds() - begun_s
     return [
         Reading("module_open_messages", open_messages),
-        Reading("traffic_step_lines", lines / LOOKS),
+        Reading("traffic_step_lines", lines / TIMED_EVENTS),
         Reading("given_up_at_hold_cap_messages", given_up),
         Reading("status_step_lines", status_lines),
         Reading("module_resident_bytes", kept_bytes, Source.TIMED),
-        Reading("arrival_step_processor_microseconds", arrival_s * MICROSECONDS, Source.TIMED),
-        Reading("outcome_step_processor_microseconds", outcome_s * MICROSECONDS, Source.TIMED),
-        Reading("held_arrival_step_processor_microseconds", held_s * MICROSECONDS, Source.TIMED),
-        Reading("mean_step_processor_microseconds", statistics.mean(steps) * MICROSECONDS, Source.TIMED),
+        Reading("arrival_step_processor_microseconds", arrival_s * MICROSECONDS_PER_S, Source.TIMED),
+        Reading("outcome_step_processor_microseconds", outcome_s * MICROSECONDS_PER_S, Source.TIMED),
+        Reading("held_arrival_step_processor_microseconds", held_s * MICROSECONDS_PER_S, Source.TIMED),
+        Reading(
+            "mean_step_processor_microseconds", statistics.mean(steps) * MICROSECONDS_PER_S, Source.TIMED
+        ),
         Reading("longest_step_processor_seconds", max(steps), Source.TIMED),
-        Reading("report_processor_seconds", module.relay.report_s, Source.TIMED),
-        Reading("forget_processor_seconds", module.relay.forget_s, Source.TIMED),
+        Reading("report_processor_seconds", module.engine.report_s, Source.TIMED),
+        Reading("forget_processor_seconds", module.engine.forget_s, Source.TIMED),
         Reading("arrival_at_hold_cap_processor_seconds", full_s, Source.TIMED),
         Reading("full_collection_processor_seconds", collection_s, Source.TIMED),
         *recovery,
     ]
 
 
-def recover(module: HollowModule) -> list[Reading]:
+def measure_recovery(module: SimulatedModule) -> list[Reading]:
     """All destinations are up again: what the delivery of the backlog costs."""
     module.down.clear()
     before = module.delivered
-    times = [module.advance(STEP_US) for _ in range(RECOVERY_STEPS)]
-    message_us = sum(times) / max(1, module.delivered - before) * MICROSECONDS
+    times = [module.advance(STEP_INTERVAL_US) for _ in range(RECOVERY_STEPS)]
+    message_us = sum(times) / max(1, module.delivered - before) * MICROSECONDS_PER_S
     before = module.delivered
-    lines = lines_run(lambda: [module.advance(STEP_US) for _ in range(COUNTED_STEPS)])
+    lines = count_executed_lines(lambda: [module.advance(STEP_INTERVAL_US) for _ in range(COUNTED_STEPS)])
     return [
         Reading("recovery_message_lines", lines / max(1, module.delivered - before)),
         Reading("recovery_message_processor_microseconds", message_us, Source.TIMED),
@@ -221,19 +231,19 @@
 def measure(placement: Placement, size: int, seed: int) -> list[Reading]:
     """The stages one after the other, so that the memory of each is its own."""
     before_bytes = resident_bytes()
-    held = {held.message.id: held for held in backlog(size, placement, seed)}
+    held = {held.message.id: held for held in make_backlog(size, placement, seed)}
     held_bytes = resident_bytes() - before_bytes
     with tempfile.TemporaryDirectory(prefix="backlog-") as folder:
-        journal = WatchedJournal(Path(folder), ample_bytes(size))
-        readings = journal_readings(journal, Path(folder), list(held.values()), seed)
+        journal = MeasuredJournal(Path(folder), ample_disk_bytes(size))
+        readings = measure_journal(journal, Path(folder), list(held.values()), seed)
         readings.append(Reading("held_resident_bytes", held_bytes, Source.TIMED))
         # The journal stays: the module would get its memory again, and seem to need none.
-        readings += module_readings(held, seed)
+        readings += measure_module(held, seed)
         journal.close()
     return readings
 
 
-def subject(name: str, about: str, placement: Placement) -> Subject:
+def make_subject(name: str, about: str, placement: Placement) -> Subject:
     """A backlog that lies in that way."""
     return Subject(
         name=name,
@@ -241,10 +251,14 @@
         axis="held messages",
         sizes=(1_000, 10_000, 100_000, 300_000),
         target=12_500_000,
-        memory_bytes=lambda size: size * BYTES_PER_MESSAGE + BYTES_OF_LIST,
+        memory_bytes=lambda size: size * BYTES_PER_MESSAGE + LIST_BYTES,
         measure=partial(measure, placement),
     )
 
 
-SUBJECT = subject("backlog", f"a relay that holds a backlog for {DOWN} destinations", SPREAD)
-ONE_SUBJECT = subject("backlog-one", "the same, with nearly all of it for one destination", ONE)
+SUBJECT = make_subject(
+    "backlog", f"a relay that holds a backlog for {DOWN_COUNT} destinations", EVENLY_SPREAD
+)
+MOSTLY_ONE_SUBJECT = make_subject(
+    "backlog-one", "the same, with nearly all of it for one destination", MOSTLY_ONE
+)
--- a/fleetlab/scale/subjects/lease_holders.py
+++ b/fleetlab/scale/subjects/lease_holders.py
@@ -4,55 +4,55 @@
 
 from fleetlab.scale.process import processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
-from fleetlab.scale.simulated_quorum import HollowQuorum
+from fleetlab.scale.simulated_quorum import SimulatedQuorum
 from fleetlab.scale.subject import Subject
 
-ELECT_S, JOIN_S, HOLD_S = 2.0, 4.0, 20.0  # simulated
+ELECT_S, JOIN_S, MEASURE_S = 2.0, 4.0, 20.0  # simulated
 SIZES = (40, 100, 200, 400, 600)
 TARGET = 600
 BYTES_PER_HOLDER, MIB = 100_000, 1 << 20
-WAYS = ("client_in", "client_out", "member_in", "member_out", "log_out")
+DIRECTIONS = ("client_in", "client_out", "member_in", "member_out", "log_out")
 
 
 def measure(size: int, seed: int) -> list[Reading]:
     """Elect a leader, let holders come, and let them renew."""
     before_bytes = resident_bytes()
-    quorum = HollowQuorum(seed)
+    quorum = SimulatedQuorum(seed)
     quorum.run(ELECT_S)
-    quorum.hold(size)
+    quorum.add_holders(size)
     quorum.run(JOIN_S)
     return [
-        *held(quorum),
+        *measure_renewals(quorum),
         Reading("hollow_resident_bytes", resident_bytes() - before_bytes, Source.TIMED),
     ]
 
 
-def held(quorum: HollowQuorum) -> list[Reading]:
+def measure_renewals(quorum: SimulatedQuorum) -> list[Reading]:
     """What passes at the leader while leases are renewed."""
     leader, leases = quorum.leader, len(quorum.leader.core.machine.state.leases)
     frames, sent_bytes, renewals = quorum.frames.copy(), quorum.bytes.copy(), quorum.renewals
     used_s, all_used_s = leader.processor_s, processor_seconds()
-    quorum.run(HOLD_S)
+    quorum.run(MEASURE_S)
     frames, sent_bytes = quorum.frames - frames, quorum.bytes - sent_bytes
     renewals = quorum.renewals - renewals
     state_bytes = quorum.state_bytes()
     return [
-        Reading("renewals_per_second", renewals / HOLD_S),
-        *(Reading(f"leader_{way}_second_frames", frames[way] / HOLD_S) for way in WAYS),
-        *(Reading(f"leader_{way}_second_bytes", sent_bytes[way] / HOLD_S) for way in WAYS),
+        Reading("renewals_per_second", renewals / MEASURE_S),
+        *(Reading(f"leader_{way}_second_frames", frames[way] / MEASURE_S) for way in DIRECTIONS),
+        *(Reading(f"leader_{way}_second_bytes", sent_bytes[way] / MEASURE_S) for way in DIRECTIONS),
         Reading("leader_renewal_bytes", sent_bytes.total() / max(1, renewals)),
         Reading("state_bytes", state_bytes),
         Reading("lease_state_bytes", state_bytes / max(1, leases)),
         Reading("held_leases", len(quorum.leader.core.machine.state.leases)),
-        Reading("refused_requests", quorum.others),
+        Reading("refused_requests", quorum.refusals),
         Reading(
             "leader_core_second_processor_microseconds",
-            1e6 * (leader.processor_s - used_s) / HOLD_S,
+            1e6 * (leader.processor_s - used_s) / MEASURE_S,
             Source.TIMED,
         ),
         Reading(
             "all_cores_second_processor_microseconds",
-            1e6 * (processor_seconds() - all_used_s) / HOLD_S,
+            1e6 * (processor_seconds() - all_used_s) / MEASURE_S,
             Source.TIMED,
         ),
     ]
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from fleetlab.scale.process import freeze, processor_seconds, resident_bytes
+from fleetlab.scale.process import exclude_objects_from_gc, processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
-from fleetlab.scale.simulated_load import Load
+from fleetlab.scale.simulated_load import LoadCounter
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import SettledSim
 from membership.core import MembershipCore
 from membership.view_agreement import FleetTracker
 
 SETTLE_S, CALM_S = 15.0, 45.0  # simulated
-LOOKS = 20
+STANDING_UPDATES = 20
 SIZES = (5, 10, 20, 40, 60, 200, 600, 1024)
 TARGET = 600
 MIB = 1 << 20
@@ -27,19 +27,21 @@
     """Let a settled fleet be."""
     before_bytes = resident_bytes()
     sim = SettledSim(seed, size)
-    freeze()
+    exclude_objects_from_gc()
     sim.run(SETTLE_S)
     held_bytes = (resident_bytes() - before_bytes) / size
     return [
-        *calm(sim),
+        *measure_calm(sim),
         Reading("member_resident_bytes", held_bytes, Source.TIMED),
-        Reading("standing_look_processor_microseconds", standing_look_us(sim.cores()[0]), Source.TIMED),
+        Reading(
+            "standing_look_processor_microseconds", measure_standing_update_us(sim.cores()[0]), Source.TIMED
+        ),
     ]
 
 
-def calm(sim: SettledSim) -> list[Reading]:
+def measure_calm(sim: SettledSim) -> list[Reading]:
     """What is sent while nothing happens."""
-    load = Load(sim)
+    load = LoadCounter(sim)
     sim.run(CALM_S)
     return [
         *load.readings("calm"),
@@ -48,14 +50,14 @@
     ]
 
 
-def standing_look_us(core: MembershipCore) -> float:
+def measure_standing_update_us(core: MembershipCore) -> float:
     """What a process spends, at each change of its view, on where it stands in its fleet."""
     fleet = FleetTracker(core.own_update.name, 0)
     begun_s = processor_seconds()
-    for number in range(LOOKS):
+    for number in range(STANDING_UPDATES):
         view = sorted((held.update for held in core.members.values()), key=lambda update: update.name)
         fleet.update(number, view, core.local_health)
-    return 1e6 * (processor_seconds() - begun_s) / LOOKS
+    return 1e6 * (processor_seconds() - begun_s) / STANDING_UPDATES
 
 
 SUBJECT = Subject(
--- a/fleetlab/scale/subjects/members_processes.py
+++ b/fleetlab/scale/subjects/members_processes.py
@@ -8,21 +8,27 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from fleetlab.scale.counted_member import sent_between
-from fleetlab.scale.programs import Programs, counters, network, resident_bytes_of, used_seconds
+from fleetlab.scale.counted_member import sizes_sent_between
+from fleetlab.scale.programs import (
+    Programs,
+    fetch_metrics,
+    processor_seconds_of,
+    random_loopback_prefix,
+    resident_bytes_of,
+)
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import ZONES
 from membership.messages import Exchange
 
-PORT, OPERATORS = 7946, 7947
-SEEDS = 3
-JOIN_S, SETTLE_S, CALM_S = 40.0, 10.0, 30.0
-LOOK_S = 0.5
+PORT, OPERATORS_PORT = 7946, 7947
+SEED_COUNT = 3
+JOIN_TIMEOUT_S, SETTLE_S, CALM_S = 40.0, 10.0, 30.0
+POLL_S = 0.5
 SIZES = (5, 10, 20, 40)
 TARGET = 600
 BYTES_PER_PROCESS = 64 << 20
-SENT_COUNTS = ("peers_datagrams_sent_total", "peers_exchanges_sent_total")
+SENT_METRICS = ("peers_datagrams_sent_total", "peers_exchanges_sent_total")
 
 
 @dataclass(slots=True)
@@ -32,7 +38,7 @@
     name: str
     host: str
     zone: str
-    process: int = 0
+    process_id: int = 0
 
     def config(self, folder: Path, seeds: list[str]) -> str:
         """Its configuration file, with the default times."""
@@ -44,7 +50,7 @@
                 f'folder = "{folder / self.name}"',
                 f'zone = "{self.zone}"',
                 f"seeds = {[f'{seed}:{PORT}' for seed in seeds]}",
-                f'operators = "{self.host}:{OPERATORS}"',
+                f'operators = "{self.host}:{OPERATORS_PORT}"',
             ]
         )
 
@@ -52,49 +58,51 @@
 def measure(size: int, _seed: int) -> list[Reading]:
     """Start members, wait until they agree on their number, and let them be."""
     with TemporaryDirectory() as folder:
-        return asyncio.run(_measured(size, Path(folder)))
+        return asyncio.run(_measure(size, Path(folder)))
 
 
-async def _measured(size: int, folder: Path) -> list[Reading]:
-    net = network()
+async def _measure(size: int, folder: Path) -> list[Reading]:
+    net = random_loopback_prefix()
     some = [
         RealMember(f"relay-{number:04}:{PORT}", f"{net}.{number + 1}", ZONES[number % len(ZONES)])
         for number in range(size)
     ]
     async with Programs(folder) as programs:
-        seeds = [member.host for member in some[:SEEDS]]
+        seeds = [member.host for member in some[:SEED_COUNT]]
         for member in some:
             config = member.config(folder, seeds)
-            member.process = await programs.start(member.name, "fleetlab.scale.counted_member", config)
-        await _agreed(some)
+            member.process_id = await programs.start(member.name, "fleetlab.scale.counted_member", config)
+        await _wait_until_agreed(some)
         await asyncio.sleep(SETTLE_S)
-        return await _calm(some, folder)
+        return await _measure_calm(some, folder)
 
 
-async def _agreed(some: list[RealMember]) -> None:
-    until_s = time.monotonic() + JOIN_S
+async def _wait_until_agreed(some: list[RealMember]) -> None:
+    until_s = time.monotonic() + JOIN_TIMEOUT_S
     while time.monotonic() < until_s:
-        found = [await counters(member.host, OPERATORS) for member in some]
+        found = [await fetch_metrics(member.host, OPERATORS_PORT) for member in some]
         if all(item.get("peers_living") == len(some) for item in found):
             return
-        await asyncio.sleep(LOOK_S)
-    raise ScaleError(f"{len(some)} members did not find together within {JOIN_S:.0f} s")
+        await asyncio.sleep(POLL_S)
+    raise ScaleError(f"{len(some)} members did not find together within {JOIN_TIMEOUT_S:.0f} s")
 
 
-async def _pages(some: list[RealMember]) -> list[float]:
+async def _sum_sent_counts(some: list[RealMember]) -> list[float]:
     """Sums over all members of what their pages count."""
-    found = [await counters(member.host, OPERATORS) for member in some]
-    return [sum(item.get(name, 0) for item in found) for name in SENT_COUNTS]
+    found = [await fetch_metrics(member.host, OPERATORS_PORT) for member in some]
+    return [sum(item.get(name, 0) for item in found) for name in SENT_METRICS]
 
 
-async def _calm(some: list[RealMember], folder: Path) -> list[Reading]:
-    processes = [member.process for member in some]
-    before = await _pages(some)
-    used_s, begun_us = used_seconds(processes), time.monotonic_ns() // 1000
+async def _measure_calm(some: list[RealMember], folder: Path) -> list[Reading]:
+    processes = [member.process_id for member in some]
+    before = await _sum_sent_counts(some)
+    used_s, begun_us = processor_seconds_of(processes), time.monotonic_ns() // 1000
     await asyncio.sleep(CALM_S)
-    used_s, ended_us = used_seconds(processes) - used_s, time.monotonic_ns() // 1000
-    datagrams, exchanges = (now - then for now, then in zip(await _pages(some), before, strict=True))
-    sizes = [sent_between(folder / member.name, begun_us, ended_us) for member in some]
+    used_s, ended_us = processor_seconds_of(processes) - used_s, time.monotonic_ns() // 1000
+    datagrams, exchanges = (
+        now - then for now, then in zip(await _sum_sent_counts(some), before, strict=True)
+    )
+    sizes = [sizes_sent_between(folder / member.name, begun_us, ended_us) for member in some]
     exchange_bytes = sum(sum(item.get(Exchange.__name__, [])) for item in sizes)
     sent_bytes = sum(sum(map(sum, item.values())) for item in sizes)
     member_seconds = len(some) * (ended_us - begun_us) / 1e6
--- a/fleetlab/scale/subjects/real_watchers.py
+++ b/fleetlab/scale/subjects/real_watchers.py
@@ -13,26 +13,34 @@
 from pathlib import Path
 from typing import IO
 
-from fleetlab.scale.directory import Tell, Up, directory_process
+from fleetlab.scale.directory import BringUp, ReadCounts, start_directory
 from fleetlab.scale.list_loading import RelayWorld
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.subjects.watchers import CHANGES, DOWN_S, LISTED, LOOK_S, PATIENCE_S, Fleet, Reach
+from fleetlab.scale.subjects.watchers import (
+    CHANGE_COUNT,
+    DOWN_S,
+    LIST_SIZE,
+    POLL_S,
+    REACH_TIMEOUT_S,
+    ReachCost,
+    WatcherFleet,
+)
 from standins.scripted import ROOT
 
 BYTES_PER_RELAY = 120_000_000  # upper estimate of memory
 
 
-class RealFleet(Fleet):
+class RealFleet(WatcherFleet):
     """A hollow directory that real relays watch; only it is asked what they have."""
 
-    def until_reached(self) -> float:
+    def wait_until_reached(self) -> float:
         """Wait until each relay's watch is open; what is written there is on its way."""
-        by_s = time.monotonic() + PATIENCE_S
+        by_s = time.monotonic() + REACH_TIMEOUT_S
         while time.monotonic() < by_s:
-            if (open_watches := self._directory.order(Tell()).open_watches) == self._size:
+            if (open_watches := self._directory.request(ReadCounts()).open_watches) == self._size:
                 return time.monotonic()
-            time.sleep(LOOK_S)
+            time.sleep(POLL_S)
         raise ScaleError(f"{self._size - open_watches} relays of {self._size} did not watch in time")
 
 
@@ -55,32 +63,32 @@
 
 
 def measure(
-    size: int, seed: int, listed: int = LISTED, down_s: float = DOWN_S, whole: bool = True
+    size: int, seed: int, listed: int = LIST_SIZE, down_s: float = DOWN_S, whole: bool = True
 ) -> list[Reading]:
     """Tell changes to real relays, then have them return, and where ``whole`` again by the whole list."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="scale-")))
         log = stack.enter_context((folder / "log").open("wb"))
-        directory = stack.enter_context(directory_process(listed, seed))
-        port = directory.order(Tell()).port
+        directory = stack.enter_context(start_directory(listed, seed))
+        port = directory.request(ReadCounts()).port
         for number in range(size):
             stack.enter_context(RelayProcess(folder / str(number), port, log))
         fleet = RealFleet(directory, [], size, listed)
-        fleet.until_reached()
-        changes = [fleet.after(None) for _ in range(CHANGES)]
+        fleet.wait_until_reached()
+        changes = [fleet.measure_until_reached(None) for _ in range(CHANGE_COUNT)]
         readings = [
-            Reading("real_change_lines", sum(reach.lines for reach in changes) / CHANGES),
-            Reading("real_change_bytes", sum(reach.line_bytes for reach in changes) / CHANGES),
+            Reading("real_change_lines", sum(reach.lines for reach in changes) / CHANGE_COUNT),
+            Reading("real_change_bytes", sum(reach.line_bytes for reach in changes) / CHANGE_COUNT),
         ]
-        fleet.pause(down_s)
-        readings += return_readings("resumed", fleet.after(Up(resumes=True)))
+        fleet.take_directory_down(down_s)
+        readings += return_readings("resumed", fleet.measure_until_reached(BringUp(resumes=True)))
         if whole:
-            fleet.pause(down_s)
-            readings += return_readings("whole", fleet.after(Up(resumes=False)))
+            fleet.take_directory_down(down_s)
+            readings += return_readings("whole", fleet.measure_until_reached(BringUp(resumes=False)))
         return readings
 
 
-def return_readings(how: str, reach: Reach) -> list[Reading]:
+def return_readings(how: str, reach: ReachCost) -> list[Reading]:
     """The figures of a return of all."""
     return [
         Reading(f"real_return_{how}_watches", float(reach.watches)),
@@ -92,7 +100,7 @@
 
 SUBJECT = Subject(
     name="real-watchers",
-    about=f"real relays watch a list of {LISTED}, hear changes and return",
+    about=f"real relays watch a list of {LIST_SIZE}, hear changes and return",
     axis="relays",
     sizes=(2, 5, 10, 20),
     target=600,
--- a/fleetlab/scale/subjects/replacement.py
+++ b/fleetlab/scale/subjects/replacement.py
@@ -9,36 +9,36 @@
 from pathlib import Path
 
 from fleetlab.scale import endpoints
-from fleetlab.scale.child import Child
-from fleetlab.scale.directory import Counts, Tell, directory_process
-from fleetlab.scale.list_loading import ASK_S, PATIENCE_S, RelayWorld, longest_wait_s
+from fleetlab.scale.child import ChildProcess
+from fleetlab.scale.directory import Counts, ReadCounts, start_directory
+from fleetlab.scale.list_loading import FIGURES_POLL_S, PATIENCE_S, RelayWorld, longest_wait_s
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 
-REPLACED_S = 30.0  # s in which the next process has to serve
-LOOK_S = 0.02  # s between looks whether it does
+REPLACE_TIMEOUT_S = 30.0  # s in which the next process has to serve
+POLL_S = 0.02  # s between looks whether it does
 
 
 def measure(size: int, seed: int) -> list[Reading]:
     """Replace a real process that knows the whole list while a client asks every 20 ms."""
     with (
-        directory_process(size, seed) as directory,
+        start_directory(size, seed) as directory,
         tempfile.TemporaryDirectory(prefix="scale-") as folder,
     ):
         return asyncio.run(_measure(Path(folder), directory, size))
 
 
-async def _measure(folder: Path, directory: Child[Counts], size: int) -> list[Reading]:
-    world = RelayWorld(folder, directory.order(Tell()).port)
+async def _measure(folder: Path, directory: ChildProcess[Counts], size: int) -> list[Reading]:
+    world = RelayWorld(folder, directory.request(ReadCounts()).port)
     await world.start()
     world.open_passed_socket()
     try:
         client = await world.start_relay()
-        await _until_known(world, size)
+        await _wait_until_known(world, size)
         ended = asyncio.Event()
         questions = asyncio.create_task(longest_wait_s(client, ended))
         begun_s = time.monotonic()
-        await _replace(world)
+        await _replace_process(world)
         replaced_s = time.monotonic() - begun_s
         ended.set()
         waited_s = await questions
@@ -52,27 +52,27 @@
         await world.stop()
 
 
-async def _until_known(world: RelayWorld, size: int) -> None:
+async def _wait_until_known(world: RelayWorld, size: int) -> None:
     """Wait for the whole list; ``ScaleError`` where it does not come within the bound."""
     by_s = time.monotonic() + PATIENCE_S
     while (await world.read_figures())["endpoints_known"] != size:
         if time.monotonic() > by_s:
             raise ScaleError(f"the list of {size} endpoints did not come within {PATIENCE_S:.0f} s")
-        await asyncio.sleep(ASK_S)
+        await asyncio.sleep(FIGURES_POLL_S)
 
 
-async def _replace(world: RelayWorld) -> None:
+async def _replace_process(world: RelayWorld) -> None:
     """Start the next process, and wait until it serves and the old one is gone."""
     old, world.admin_port = world.process, world.free_port()
     assert old is not None
-    async with asyncio.timeout(REPLACED_S):
+    async with asyncio.timeout(REPLACE_TIMEOUT_S):
         await world.spawn()
-        while not await _serves(world):
-            await asyncio.sleep(LOOK_S)
+        while not await _is_serving(world):
+            await asyncio.sleep(POLL_S)
         await old.wait()
 
 
-async def _serves(world: RelayWorld) -> bool:
+async def _is_serving(world: RelayWorld) -> bool:
     """Whether the present process answers operators and takes clients."""
     with contextlib.suppress(OSError):
         return (await world.operator_call("GET", "health"))[0] == 200
@@ -85,6 +85,6 @@
     axis="endpoints in the list",
     sizes=(20, 200, 2_000, 7_000, 15_000, 31_000),
     target=31_000,
-    memory_bytes=endpoints.memory_bytes,
+    memory_bytes=endpoints.estimate_memory_bytes,
     measure=measure,
 )
--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -8,23 +8,23 @@
 from pathlib import Path
 from typing import Any
 
-from fleetlab.scale.held_load import BODY_BYTES, DOWN, SEAT_STATUS, SPREAD, backlog
+from fleetlab.scale.held_load import BODY_BYTES, DOWN_COUNT, EVENLY_SPREAD, SEAT_STATUS, make_backlog
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.subjects.backlog import ample_bytes, disk_bytes, fill
+from fleetlab.scale.subjects.backlog import accept_all, ample_disk_bytes, required_disk_bytes
 from relay.driver import HELD_BODIES_MEMORY_SHARE
 from relay.journal import Journal
 from relay.resource_usage import read_memory_bytes
 from standins.scripted import Client, World, no_answer, settings_json
 
-ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
+SILENT_ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
 SLOTS = 64
-OPEN_SPARE = 1_000  # messages that the relay may hold beside the backlog
-LEAST_MEMORY_MB = 32
+SPARE_OPEN_MESSAGES = 1_000  # messages that the relay may hold beside the backlog
+MIN_MEMORY_MB = 32
 BYTES_PER_MESSAGE = 8_000  # upper estimate of memory: the relay and the process that measures
-MB = 1_000_000
-PATIENCE_S = 90.0  # for the first answer
-LOOK_S = 0.01
+BYTES_PER_MB = 1_000_000
+ANSWER_TIMEOUT_S = 90.0  # for the first answer
+POLL_S = 0.01
 
 
 def class_json() -> dict[str, Any]:
@@ -44,42 +44,42 @@
 
 def configure(world: World, messages: int, disk: int) -> None:
     """Limits with room for the backlog and little more."""
-    world.settings = settings_json(open_cap=messages + OPEN_SPARE)
+    world.settings = settings_json(open_cap=messages + SPARE_OPEN_MESSAGES)
     world.settings["request_classes"] = [class_json()]
     world.settings["domain"] |= {"calls_out": SLOTS}
-    world.disk_mb = disk / MB
-    world.memory_mb = LEAST_MEMORY_MB + int(messages * BODY_BYTES / HELD_BODIES_MEMORY_SHARE / MB)
+    world.disk_mb = disk / BYTES_PER_MB
+    world.memory_mb = MIN_MEMORY_MB + int(messages * BODY_BYTES / HELD_BODIES_MEMORY_SHARE / BYTES_PER_MB)
     world.admin_port = world.free_port()
 
 
-async def answered(world: World) -> Client:
+async def wait_for_answer(world: World) -> Client:
     """A client, once the relay has answered it."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         while True:
             try:
                 client = Client(*await asyncio.open_connection(world.address, world.port))
             except OSError:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
                 continue
             if await client.command(b"PING") == b"+PONG":
                 return client
 
 
-async def restarted(folder: Path, size: int, seed: int) -> list[Reading]:
+async def measure_restart(folder: Path, size: int, seed: int) -> list[Reading]:
     """Write the journal as the relay would, start the relay over it, and ask it."""
     world = World(folder)
     await world.start()
     try:
-        messages = list(backlog(size, SPREAD, seed))
-        journal = Journal(world.state_folder, ample_bytes(size))
-        fill(journal, messages)
+        messages = list(make_backlog(size, EVENLY_SPREAD, seed))
+        journal = Journal(world.state_folder, ample_disk_bytes(size))
+        accept_all(journal, messages)
         journal.close()
-        configure(world, size, disk_bytes(messages, journal.written_bytes))
-        for number in range(ENDPOINTS):
-            await world.add_host(f"h{number:03d}", no_answer, block=number % DOWN)
+        configure(world, size, required_disk_bytes(messages, journal.written_bytes))
+        for number in range(SILENT_ENDPOINTS):
+            await world.add_host(f"h{number:03d}", no_answer, block=number % DOWN_COUNT)
         begun_s = time.monotonic()
         process = await world.spawn()
-        await answered(world)
+        await wait_for_answer(world)
         pong_s = time.monotonic() - begun_s
         held = (await world.read_figures())["in_flight"]
         memory = read_memory_bytes(Path(f"/proc/{process.pid}"))
@@ -97,7 +97,7 @@
 def measure(size: int, seed: int) -> list[Reading]:
     """One restart in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="replay-") as folder:
-        return asyncio.run(restarted(Path(folder), size, seed))
+        return asyncio.run(measure_restart(Path(folder), size, seed))
 
 
 SUBJECT = Subject(
--- a/fleetlab/scale/subjects/watchers.py
+++ b/fleetlab/scale/subjects/watchers.py
@@ -11,26 +11,34 @@
 from dataclasses import dataclass
 from functools import partial
 
-from fleetlab.scale.child import Child
-from fleetlab.scale.directory import Change, Counts, Down, Order, Tell, Up, directory_process
+from fleetlab.scale.child import ChildProcess
+from fleetlab.scale.directory import (
+    BringUp,
+    Command,
+    Counts,
+    ReadCounts,
+    SetHealth,
+    TakeDown,
+    start_directory,
+)
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.watching import Reached, Watched, watching_process
+from fleetlab.scale.watching import CountReached, Watched, start_watchers
 
-LISTED, LONG_LIST = 2_000, 31_000  # endpoints on the list
-CHANGES = 10  # that are told one after the other, of which the figures of a change are the mean
-MISSED = 3  # changes while the directory is down
+LIST_SIZE, LONG_LIST_SIZE = 2_000, 31_000  # endpoints on the list
+CHANGE_COUNT = 10  # that are told one after the other, of which the figures of a change are the mean
+MISSED_CHANGES = 3  # changes while the directory is down
 DOWN_S = 8.0  # s that the directory is down
 PROCESSES = 6  # of watchers, at most
-LOOK_S = 0.02  # s between looks whether all watchers have a version
-PATIENCE_S = 30.0  # s for all watchers to have it
+POLL_S = 0.02  # s between looks whether all watchers have a version
+REACH_TIMEOUT_S = 30.0  # s for all watchers to have it
 BYTES_PER_WATCHER = 4_000_000  # upper estimate of memory, with a whole list under way
 BASE_BYTES = 500_000_000  # upper estimate for the processes themselves
 HEALTHS = ("DRAINING", "SERVING")
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
+class ReachCost:
     """What it took until all watchers had a version."""
 
     seconds: float  # until the last of them heard it
@@ -40,37 +48,39 @@
     directory_seconds: float  # of its processor
 
 
-class Fleet:
+class WatcherFleet:
     """A hollow directory and the processes of its watchers."""
 
-    def __init__(self, directory: Child[Counts], watching: list[Child[Watched]], size: int, listed: int):
+    def __init__(
+        self, directory: ChildProcess[Counts], watching: list[ChildProcess[Watched]], size: int, listed: int
+    ):
         self._directory, self._watching, self._size = directory, watching, size
         self._version, self._listed = listed, listed
 
-    def change(self) -> None:
+    def change_endpoint(self) -> None:
         """Have one endpoint change."""
         self._version += 1
         number = self._version - self._listed
-        self._directory.order(Change(number % self._listed, HEALTHS[number % 2]))
+        self._directory.request(SetHealth(number % self._listed, HEALTHS[number % 2]))
 
-    def pause(self, down_s: float) -> None:
+    def take_directory_down(self, down_s: float) -> None:
         """Take the directory down for a while, in which the list changes."""
-        self._directory.order(Down())
-        for _ in range(MISSED):
-            self.change()
+        self._directory.request(TakeDown())
+        for _ in range(MISSED_CHANGES):
+            self.change_endpoint()
         time.sleep(down_s)
 
-    def after(self, act: Order | None) -> Reach:
+    def measure_until_reached(self, act: Command | None) -> ReachCost:
         """Carry out an order, or else tell a change, and wait until all watchers have the newest version."""
-        before = self._directory.order(Tell())
+        before = self._directory.request(ReadCounts())
         begun_s = time.monotonic()
         if act is None:
-            self.change()
+            self.change_endpoint()
         else:
-            self._directory.order(act)
-        last_s = self.until_reached()
-        counts = self._directory.order(Tell())
-        return Reach(
+            self._directory.request(act)
+        last_s = self.wait_until_reached()
+        counts = self._directory.request(ReadCounts())
+        return ReachCost(
             seconds=last_s - begun_s,
             lines=counts.lines - before.lines,
             line_bytes=counts.line_bytes - before.line_bytes,
@@ -78,49 +88,49 @@
             directory_seconds=counts.processor_seconds - before.processor_seconds,
         )
 
-    def until_reached(self) -> float:
+    def wait_until_reached(self) -> float:
         """Wait for all watchers; when the last of them heard a line, or ``ScaleError`` after a bound."""
-        by_s = time.monotonic() + PATIENCE_S
+        by_s = time.monotonic() + REACH_TIMEOUT_S
         while time.monotonic() < by_s:
-            watched = [child.order(Reached(self._version)) for child in self._watching]
+            watched = [child.request(CountReached(self._version)) for child in self._watching]
             if sum(each.reached for each in watched) == self._size:
                 return max(each.last_heard_s for each in watched)
-            time.sleep(LOOK_S)
+            time.sleep(POLL_S)
         missing = self._size - sum(each.reached for each in watched)
         raise ScaleError(f"{missing} watchers of {self._size} had no version {self._version} in time")
 
 
 def measure(
-    size: int, seed: int, listed: int = LISTED, down_s: float = DOWN_S, whole: bool = True
+    size: int, seed: int, listed: int = LIST_SIZE, down_s: float = DOWN_S, whole: bool = True
 ) -> list[Reading]:
     """Tell changes, then have all watchers return by their version, and where ``whole`` by the whole list.
 
     Where not ``whole``, they start at the list's version, as a relay does that has kept the list.
     """
     with ExitStack() as stack:
-        directory = stack.enter_context(directory_process(listed, seed))
-        port = directory.order(Tell()).port
+        directory = stack.enter_context(start_directory(listed, seed))
+        port = directory.request(ReadCounts()).port
         watching = [
-            stack.enter_context(watching_process(port, count, 0 if whole else listed))
-            for count in shares(size, min(size, PROCESSES))
+            stack.enter_context(start_watchers(port, count, 0 if whole else listed))
+            for count in split_evenly(size, min(size, PROCESSES))
         ]
-        fleet = Fleet(directory, watching, size, listed)
-        fleet.until_reached()
-        readings = change_readings([fleet.after(None) for _ in range(CHANGES)])
-        fleet.pause(down_s)
-        readings += return_readings("resumed", fleet.after(Up(resumes=True)), size)
+        fleet = WatcherFleet(directory, watching, size, listed)
+        fleet.wait_until_reached()
+        readings = change_readings([fleet.measure_until_reached(None) for _ in range(CHANGE_COUNT)])
+        fleet.take_directory_down(down_s)
+        readings += return_readings("resumed", fleet.measure_until_reached(BringUp(resumes=True)), size)
         if whole:
-            fleet.pause(down_s)
-            readings += return_readings("whole", fleet.after(Up(resumes=False)), size)
+            fleet.take_directory_down(down_s)
+            readings += return_readings("whole", fleet.measure_until_reached(BringUp(resumes=False)), size)
         return readings
 
 
-def shares(size: int, parts: int) -> list[int]:
+def split_evenly(size: int, parts: int) -> list[int]:
     """A number in almost equal parts."""
     return [size // parts + (part < size % parts) for part in range(parts)]
 
 
-def change_readings(reaches: list[Reach]) -> list[Reading]:
+def change_readings(reaches: list[ReachCost]) -> list[Reading]:
     """The figures of one change, and the slowest."""
     count = len(reaches)
     processor_s = sum(reach.directory_seconds for reach in reaches) / count
@@ -132,7 +142,7 @@
     ]
 
 
-def return_readings(how: str, reach: Reach, size: int) -> list[Reading]:
+def return_readings(how: str, reach: ReachCost, size: int) -> list[Reading]:
     """The figures of a return of all; watches that had to be asked for twice make its counts timed ones."""
     source = Source.COUNT if reach.watches == size else Source.TIMED
     return [
@@ -147,7 +157,7 @@
 
 SUBJECT = Subject(
     name="watchers",
-    about=f"watchers of a list of {LISTED} hear changes, and return",
+    about=f"watchers of a list of {LIST_SIZE} hear changes, and return",
     axis="watchers",
     sizes=(5, 20, 60, 200, 600),
     target=600,
@@ -156,10 +166,10 @@
 )
 LONG_LIST_SUBJECT = Subject(
     name="watchers-long-list",
-    about=f"watchers of a list of {LONG_LIST} hear changes, and return by their version",
+    about=f"watchers of a list of {LONG_LIST_SIZE} hear changes, and return by their version",
     axis="watchers",
     sizes=(5, 20, 60, 200, 600),
     target=600,
     memory_bytes=lambda size: BASE_BYTES + size * BYTES_PER_WATCHER,
-    measure=partial(measure, listed=LONG_LIST, whole=False),
+    measure=partial(measure, listed=LONG_LIST_SIZE, whole=False),
 )
--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -38,13 +38,13 @@
 from fleetlab.scale.process import processor_seconds
 
 SECOND_US = 1_000_000
-CONNECT_FAILED_US, REFUSED_US = 20_000, 30_000  # us that a failed connection and a refusal take
-USUAL_US = 180_000  # us of answers: the median; 204 ms on average
-SPREAD = 0.5  # of answers: the deviation of the logarithm
+CONNECT_FAILURE_US, REFUSAL_US = 20_000, 30_000  # us that a failed connection and a refusal take
+MEDIAN_LATENCY_US = 180_000  # us of answers: the median; 204 ms on average
+LATENCY_LOG_DEVIATION = 0.5  # of answers: the deviation of the logarithm
 STATUS = MessageClass("status", Effect.SAFE, 1_500_000, 6_000_000)
 ORDER = MessageClass("order", Effect.KEYED, 3_000_000, 16_000_000, 2.0, 0.5, key_window_us=15_000_000)
 PAYMENT = MessageClass("payment", Effect.UNSAFE, 2_000_000, 28_000_000, 4.0, 0.3)
-CLASSES, PARTS = (STATUS, ORDER, PAYMENT), (6, 3, 1)  # and in which parts messages come
+MESSAGE_CLASSES, CLASS_WEIGHTS = (STATUS, ORDER, PAYMENT), (6, 3, 1)  # and in which parts messages come
 
 
 class Fault(Enum):
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class CallEnd:
     """How a call ends, and after how long."""
 
     verdict: Verdict
@@ -66,7 +66,7 @@
 class Destinations(Protocol):
     """What hollow relays call."""
 
-    def answer(self, host: str, now_us: int, limit_us: int) -> Answer:
+    def answer(self, host: str, now_us: int, limit_us: int) -> CallEnd:
         """How a call that begins now will end; ``limit_us`` after its start it is given up."""
 
     def is_down(self, host: str, now_us: int) -> bool:
@@ -78,23 +78,23 @@
 
     def __init__(self) -> None:
         self.now_us = 0
-        self._serial = itertools.count()
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
+        self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
 
-    def at(self, at_us: int, act: Callable[[], None]) -> None:
+    def schedule(self, at_us: int, act: Callable[[], None]) -> None:
         """Call ``act`` at that time; what is due at the same time is called in the order given."""
-        heapq.heappush(self._due, (at_us, next(self._serial), act))
+        heapq.heappush(self._scheduled, (at_us, next(self._sequence), act))
 
     def run(self, until_us: int) -> None:
         """Let time pass up to then."""
-        while self._due and self._due[0][0] < until_us:
-            self.now_us, _, act = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] < until_us:
+            self.now_us, _, act = heapq.heappop(self._scheduled)
             act()
         self.now_us = until_us
 
 
 @dataclass(slots=True)
-class Taken:
+class OpenMessage:
     """A message that a relay took in and has not ended."""
 
     cls: MessageClass
@@ -108,14 +108,14 @@
     """What became of a relay's messages and calls."""
 
     taken: int = 0
-    taken_down: int = 0  # of them, for a destination that was down then
+    taken_for_down: int = 0  # of them, for a destination that was down then
     delivered: int = 0
     refused: int = 0
     failed: int = 0
     calls: int = 0
     wasted_calls: int = 0  # of them, at destinations that were down
     wasted_slot_us: int = 0  # us that they held slots
-    most_wasted: int = 0  # of them out at once
+    max_wasted_at_once: int = 0  # of them out at once
     cancels: int = 0
     due_healthy: int = 0  # messages for healthy destinations whose aim has passed
     on_time: int = 0  # of them, those delivered by then
@@ -130,144 +130,151 @@
     longest_step_s: float = 0.0
 
 
-class HollowRelay:
+class SimulatedRelay:
     """The decision module with its timers, its messages and its calls, and no work behind them."""
 
     def __init__(self, simulation: Simulation, module: DecisionEngine, destinations: Destinations) -> None:
-        self.module, self.counts, self.timing = module, Counts(), Timing()
-        self.on_step: Callable[[], None] = lambda: None  # called after each step
+        self.engine, self.counts, self.timing = module, Counts(), Timing()
+        self.after_step: Callable[[], None] = lambda: None  # called after each step
         self._simulation, self._destinations = simulation, destinations
-        self._taken: dict[str, Taken] = {}
-        self._out: dict[tuple[str, int], int] = {}  # by message and attempt: when a call began
-        self._wasted_out = 0
-        self._on_time: set[str] = set()  # delivered, and their aim has not passed
-        self._inbox: list[Event] = []
-        self._next_us, self._scheduled = 0, False
+        self._open_messages: dict[str, OpenMessage] = {}
+        self._call_starts_us: dict[tuple[str, int], int] = {}  # by message and attempt: when a call began
+        self._open_wasted_calls = 0
+        self._delivered_in_aim: set[str] = set()  # delivered, and their aim has not passed
+        self._waiting_events: list[Event] = []
+        self._next_step_us, self._step_scheduled = 0, False
 
     @property
-    def held(self) -> int:
+    def open_count(self) -> int:
         """Messages that have not ended."""
-        return len(self._taken)
+        return len(self._open_messages)
 
-    def load(self, entries: tuple[Entry, ...]) -> None:
+    def load_list(self, entries: tuple[Entry, ...]) -> None:
         """Take in the whole list at once."""
-        self._carry_out(
-            self.module.step(self._simulation.now_us, [EndpointUpdate(EndpointUpdateKind.WHOLE, entries)])
+        self._execute(
+            self.engine.step(self._simulation.now_us, [EndpointUpdate(EndpointUpdateKind.WHOLE, entries)])
         )
 
-    def take(self, name: str, entry: Entry, cls: MessageClass) -> None:
+    def accept_message(self, name: str, entry: Entry, cls: MessageClass) -> None:
         """Take in a message."""
         now_us = self._simulation.now_us
-        self._taken[name] = Taken(cls, entry.host, now_us)
+        self._open_messages[name] = OpenMessage(cls, entry.host, now_us)
         self.counts.taken += 1
         if self._destinations.is_down(entry.host, now_us):
-            self.counts.taken_down += 1
+            self.counts.taken_for_down += 1
         else:
-            self._simulation.at(now_us + cls.aim_us, lambda: self._aim_passed(name))
-        self._post(Arrival(name, entry.dest, cls.name, cls.deadline_us))
+            self._simulation.schedule(now_us + cls.aim_us, lambda: self._check_aim(name))
+        self._queue_event(Arrival(name, entry.dest, cls.name, cls.deadline_us))
 
-    def stop(self) -> None:
+    def count_open_calls(self) -> None:
         """Count the slot time of calls that are still out."""
         now_us = self._simulation.now_us
-        for (name, _), begun_us in self._out.items():
-            if name in self._taken and self._destinations.is_down(self._taken[name].host, begun_us):
+        for (name, _), begun_us in self._call_starts_us.items():
+            if name in self._open_messages and self._destinations.is_down(
+                self._open_messages[name].host, begun_us
+            ):
                 self.counts.wasted_slot_us += now_us - begun_us
 
-    def _aim_passed(self, name: str) -> None:
+    def _check_aim(self, name: str) -> None:
         self.counts.due_healthy += 1
-        if name in self._on_time:
-            self._on_time.remove(name)
+        if name in self._delivered_in_aim:
+            self._delivered_in_aim.remove(name)
             self.counts.on_time += 1
 
-    def _post(self, event: Event) -> None:
+    def _queue_event(self, event: Event) -> None:
         """Put an event before the module at its next step, one round after the last at the earliest."""
-        self._inbox.append(event)
-        if not self._scheduled:
-            self._scheduled = True
-            self._simulation.at(max(self._simulation.now_us, self._next_us), self._step)
+        self._waiting_events.append(event)
+        if not self._step_scheduled:
+            self._step_scheduled = True
+            self._simulation.schedule(max(self._simulation.now_us, self._next_step_us), self._step)
 
     def _step(self) -> None:
         now_us = self._simulation.now_us
-        self._scheduled, self._next_us = False, now_us + self.module.settings.round_us
-        events, self._inbox = self._inbox, []
+        self._step_scheduled, self._next_step_us = False, now_us + self.engine.settings.round_us
+        events, self._waiting_events = self._waiting_events, []
         begun_s = processor_seconds()
-        actions = self.module.step(now_us, events)
+        actions = self.engine.step(now_us, events)
         took_s = processor_seconds() - begun_s
         self.timing.seconds += took_s
         self.timing.longest_step_s = max(self.timing.longest_step_s, took_s)
         self.counts.steps += 1
-        self._carry_out(actions)
-        self.on_step()
+        self._execute(actions)
+        self.after_step()
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Send():
-                    self._call(action)
+                    self._start_call(action)
                 case Wake():
                     due_us = self._simulation.now_us + action.delay_us
-                    self._simulation.at(due_us, lambda: self._post(TimerDue()))
+                    self._simulation.schedule(due_us, lambda: self._queue_event(TimerDue()))
                 case Cancel():
-                    self._cancel(action)
+                    self._cancel_call(action)
                 case Refuse():
-                    self.counts.refused += self._taken.pop(action.id, None) is not None
+                    self.counts.refused += self._open_messages.pop(action.id, None) is not None
                 case Fail():
-                    self.counts.failed += self._taken.pop(action.id, None) is not None
+                    self.counts.failed += self._open_messages.pop(action.id, None) is not None
 
-    def _call(self, send: Send) -> None:
-        now_us, message = self._simulation.now_us, self._taken[send.id]
+    def _start_call(self, send: Send) -> None:
+        now_us, message = self._simulation.now_us, self._open_messages[send.id]
         attempt, message.attempts = message.attempts, message.attempts + 1
-        self._out[send.id, attempt] = now_us
+        self._call_starts_us[send.id, attempt] = now_us
         self.counts.calls += 1
         if self._destinations.is_down(send.host, now_us):
             self.counts.wasted_calls += 1
-            self._wasted_out += 1
-            self.counts.most_wasted = max(self.counts.most_wasted, self._wasted_out)
+            self._open_wasted_calls += 1
+            self.counts.max_wasted_at_once = max(self.counts.max_wasted_at_once, self._open_wasted_calls)
         answer = self._destinations.answer(send.host, now_us, send.timeout_us)
         end_us = now_us + answer.took_us
-        self._simulation.at(end_us, lambda: self._ended(send.id, attempt, send.host, answer.verdict))
+        self._simulation.schedule(end_us, lambda: self._end_call(send.id, attempt, send.host, answer.verdict))
 
-    def _cancel(self, action: Cancel) -> None:
+    def _cancel_call(self, action: Cancel) -> None:
         self.counts.cancels += 1
-        host = self._taken[action.id].host
-        self._ended(action.id, action.attempt, host, Verdict.CANCELLED)
+        host = self._open_messages[action.id].host
+        self._end_call(action.id, action.attempt, host, Verdict.CANCELLED)
 
-    def _ended(self, name: str, attempt: int, host: str, verdict: Verdict) -> None:
-        if (begun_us := self._out.pop((name, attempt), None)) is None:  # it was cancelled before
+    def _end_call(self, name: str, attempt: int, host: str, verdict: Verdict) -> None:
+        if (begun_us := self._call_starts_us.pop((name, attempt), None)) is None:  # it was cancelled before
             return
         now_us, served = self._simulation.now_us, verdict is Verdict.OK
         if self._destinations.is_down(host, begun_us):
             self.counts.wasted_slot_us += now_us - begun_us
-            self._wasted_out -= 1
-        if served and (message := self._taken.pop(name, None)) is not None:
+            self._open_wasted_calls -= 1
+        if served and (message := self._open_messages.pop(name, None)) is not None:
             self.counts.delivered += 1
             healthy = not self._destinations.is_down(host, message.at_us)
             if healthy and now_us <= message.at_us + message.cls.aim_us:
-                self._on_time.add(name)
-        self._post(Outcome(name, attempt, host, verdict, now_us - begun_us, served))
+                self._delivered_in_aim.add(name)
+        self._queue_event(Outcome(name, attempt, host, verdict, now_us - begun_us, served))
 
 
-class Feed:
+class MessageSource:
     """Messages that come to a relay at random times, for destinations drawn evenly from the list."""
 
     def __init__(
-        self, simulation: Simulation, relay: HollowRelay, entries: tuple[Entry, ...], per_s: float, seed: int
+        self,
+        simulation: Simulation,
+        relay: SimulatedRelay,
+        entries: tuple[Entry, ...],
+        per_s: float,
+        seed: int,
     ) -> None:
         self._simulation, self._relay, self._entries = simulation, relay, entries
-        self._per_s, self._random, self._serial = per_s, Random(seed), itertools.count()
-        self._plan()
+        self._per_s, self._random, self._sequence = per_s, Random(seed), itertools.count()
+        self._schedule_next()
 
-    def _plan(self) -> None:
+    def _schedule_next(self) -> None:
         gap_us = 1 + int(self._random.expovariate(self._per_s) * SECOND_US)
-        self._simulation.at(self._simulation.now_us + gap_us, self._hand_over)
+        self._simulation.schedule(self._simulation.now_us + gap_us, self._submit_message)
 
-    def _hand_over(self) -> None:
-        cls = self._random.choices(CLASSES, PARTS)[0]
-        self._relay.take(f"m{next(self._serial)}", self._random.choice(self._entries), cls)
-        self._plan()
+    def _submit_message(self) -> None:
+        cls = self._random.choices(MESSAGE_CLASSES, CLASS_WEIGHTS)[0]
+        self._relay.accept_message(f"m{next(self._sequence)}", self._random.choice(self._entries), cls)
+        self._schedule_next()
 
 
-def entries_of(size: int) -> tuple[Entry, ...]:
+def make_entries(size: int) -> tuple[Entry, ...]:
     """A list of so many destinations with one endpoint each."""
     return tuple(
         Entry(f"host-{number}", number, ZONES[number % len(ZONES)], "plain", Listing.READY)
@@ -275,16 +282,16 @@
     )
 
 
-def failed_answer(fault: Fault, limit_us: int) -> Answer:
+def failed_call_end(fault: Fault, limit_us: int) -> CallEnd:
     """How a call at a destination with this fault ends."""
     if fault is Fault.CONNECT_FAILS:
-        return Answer(Verdict.CONNECT_FAILED, min(limit_us, CONNECT_FAILED_US))
+        return CallEnd(Verdict.CONNECT_FAILED, min(limit_us, CONNECT_FAILURE_US))
     if fault is Fault.REFUSES:
-        return Answer(Verdict.FULL, min(limit_us, REFUSED_US))
-    return Answer(Verdict.TIMEOUT, limit_us)
+        return CallEnd(Verdict.FULL, min(limit_us, REFUSAL_US))
+    return CallEnd(Verdict.TIMEOUT, limit_us)
 
 
-def served_answer(random: Random, limit_us: int) -> Answer:
+def served_call_end(random: Random, limit_us: int) -> CallEnd:
     """How a call at a healthy destination ends."""
-    took_us = int(random.lognormvariate(math.log(USUAL_US), SPREAD))
-    return Answer(Verdict.OK, took_us) if took_us <= limit_us else Answer(Verdict.TIMEOUT, limit_us)
+    took_us = int(random.lognormvariate(math.log(MEDIAN_LATENCY_US), LATENCY_LOG_DEVIATION))
+    return CallEnd(Verdict.OK, took_us) if took_us <= limit_us else CallEnd(Verdict.TIMEOUT, limit_us)
--- a/fleetlab/scale/watching.py
+++ b/fleetlab/scale/watching.py
@@ -14,21 +14,21 @@
 import msgspec
 
 from decisions.engine import MIN_ASK_GAP_US
-from fleetlab.scale.child import Child, carry_out
+from fleetlab.scale.child import ChildProcess, serve_commands
 from fleetlab.scale.endpoints import RELAY_MEMORY_BYTES
 from relay.discovery import Watch, line_limit_for_memory
 from relay.endpoint_list import DirectoryUpdate
 from relay.http import Address
 
-ASK_S = (
+RECONNECT_S = (
     MIN_ASK_GAP_US / 1e6
 )  # s before a broken watch is asked for again: the module's first gap, without its draw
-AT_ONCE = 10  # watchers that come up together at the start
-LOOK_S = 0.01  # s between looks whether they are up
+START_BATCH_SIZE = 10  # watchers that come up together at the start
+POLL_S = 0.01  # s between looks whether they are up
 LOOPBACK = "127.0.0.1"
 
 
-class Reached(msgspec.Struct, frozen=True, tag="reached"):
+class CountReached(msgspec.Struct, frozen=True, tag="reached"):
     """An order: tell how many watchers have this version or a newer one."""
 
     version: int
@@ -51,75 +51,75 @@
         self.watch = Watch(
             address,
             version,
-            on_update=self._told,
-            on_long_update=self._told_long,
-            on_end=self._failed,
+            on_update=self._handle_update,
+            on_long_update=self._handle_long_update,
+            on_end=self._handle_failure,
             max_line_bytes=line_limit_for_memory(RELAY_MEMORY_BYTES),
         )
-        self._again: asyncio.TimerHandle | None = None
-        self.heard_s = 0.0
+        self._reconnect_timer: asyncio.TimerHandle | None = None
+        self.last_update_s = 0.0
         self.lines = self.entries = self.broken = 0
 
-    def _told(self, news: DirectoryUpdate) -> None:
-        self.heard_s = time.monotonic()
+    def _handle_update(self, news: DirectoryUpdate) -> None:
+        self.last_update_s = time.monotonic()
         self.lines += 1
         self.entries += len(news.endpoints)
 
-    async def _told_long(self, news: DirectoryUpdate) -> None:
-        self._told(news)
+    async def _handle_long_update(self, news: DirectoryUpdate) -> None:
+        self._handle_update(news)
 
-    def _failed(self) -> None:
+    def _handle_failure(self) -> None:
         self.broken += 1
-        self._again = asyncio.get_running_loop().call_later(ASK_S, self.watch.subscribe)
+        self._reconnect_timer = asyncio.get_running_loop().call_later(RECONNECT_S, self.watch.subscribe)
 
     def close(self) -> None:
         """Stop watching."""
-        if self._again is not None:
-            self._again.cancel()
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
         self.watch.close()
 
 
-class Watchers:
+class WatcherGroup:
     """All watchers of one process."""
 
     def __init__(self, address: Address, count: int, version: int) -> None:
-        self._all = [Watcher(address, version) for _ in range(count)]
+        self._watchers = [Watcher(address, version) for _ in range(count)]
 
     async def start(self) -> None:
         """Bring them up some at a time: only a return is to be a rush."""
-        for first in range(0, len(self._all), AT_ONCE):
-            some = self._all[first : first + AT_ONCE]
+        for first in range(0, len(self._watchers), START_BATCH_SIZE):
+            some = self._watchers[first : first + START_BATCH_SIZE]
             for watcher in some:
                 watcher.watch.subscribe()
             while not all(watcher.lines for watcher in some):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     def close(self) -> None:
         """Stop watching."""
-        for watcher in self._all:
+        for watcher in self._watchers:
             watcher.close()
 
-    def obey(self, order: Reached) -> Watched:
+    def execute(self, order: CountReached) -> Watched:
         """Tell what was heard."""
         return Watched(
-            reached=sum(1 for w in self._all if w.lines and w.watch.version >= order.version),
-            last_heard_s=max(w.heard_s for w in self._all),
-            lines=sum(w.lines for w in self._all),
-            entries=sum(w.entries for w in self._all),
-            broken=sum(w.broken for w in self._all),
+            reached=sum(1 for w in self._watchers if w.lines and w.watch.version >= order.version),
+            last_heard_s=max(w.last_update_s for w in self._watchers),
+            lines=sum(w.lines for w in self._watchers),
+            entries=sum(w.entries for w in self._watchers),
+            broken=sum(w.broken for w in self._watchers),
         )
 
 
-def watching_process(port: int, count: int, version: int) -> Child[Watched]:
+def start_watchers(port: int, count: int, version: int) -> ChildProcess[Watched]:
     """Hollow watchers of a process of their own."""
-    return Child("fleetlab.scale.watching", [str(port), str(count), str(version)], Watched)
+    return ChildProcess("fleetlab.scale.watching", [str(port), str(count), str(version)], Watched)
 
 
 async def serve(port: int, count: int, version: int) -> None:
     """Watch and carry out orders until the input ends."""
-    watchers = Watchers((LOOPBACK, port), count, version)
+    watchers = WatcherGroup((LOOPBACK, port), count, version)
     start = asyncio.create_task(watchers.start())
-    await carry_out(Reached, watchers.obey)
+    await serve_commands(CountReached, watchers.execute)
     start.cancel()
 
 
--- a/fleetlab/scale/worker.py
+++ b/fleetlab/scale/worker.py
@@ -9,22 +9,24 @@
 import msgspec
 
 from fleetlab.scale.records import Sample, ScaleError
-from fleetlab.scale.registry import subject_named
+from fleetlab.scale.registry import find_subject
 from fleetlab.scale.subject import Subject
 
-MOST_ERROR_CHARACTERS = 300
+MAX_ERROR_CHARACTERS = 300
 
 
-def measured(subject: Subject, size: int, seed: int) -> Sample:
+def measure_in_process(subject: Subject, size: int, seed: int) -> Sample:
     """Measure in a fresh process; ``ScaleError`` where it fails or takes too long, and then it is ended."""
     command = [sys.executable, "-m", "fleetlab.scale.worker", subject.name, str(size), str(seed)]
     try:
-        done = subprocess.run(command, capture_output=True, timeout=subject.seconds, check=False)
+        done = subprocess.run(command, capture_output=True, timeout=subject.timeout_s, check=False)
     except subprocess.TimeoutExpired:
-        raise ScaleError(f"{subject.name}: size {size}: did not end within {subject.seconds:.0f} s") from None
+        raise ScaleError(
+            f"{subject.name}: size {size}: did not end within {subject.timeout_s:.0f} s"
+        ) from None
     if done.returncode:
         last = done.stderr.decode(errors="replace").strip().rpartition("\n")[2]
-        raise ScaleError(f"{subject.name}: size {size}: failed: {last[:MOST_ERROR_CHARACTERS]}")
+        raise ScaleError(f"{subject.name}: size {size}: failed: {last[:MAX_ERROR_CHARACTERS]}")
     try:
         return msgspec.json.decode(done.stdout, type=Sample)
     except msgspec.DecodeError as error:
@@ -33,7 +35,7 @@
 
 def main(arguments: list[str]) -> int:
     """Measure and print."""
-    subject, size, seed = subject_named(arguments[0]), int(arguments[1]), int(arguments[2])
+    subject, size, seed = find_subject(arguments[0]), int(arguments[1]), int(arguments[2])
     begun_s = time.monotonic()
     readings = tuple(subject.measure(size, seed))
     sample = Sample(subject.name, size, seed, time.monotonic() - begun_s, readings)
--- a/tests/scale/test_backlog.py
+++ b/tests/scale/test_backlog.py
@@ -11,18 +11,26 @@
 import pytest
 
 from decisions.engine import DecisionEngine
-from fleetlab.scale.fit import exponent
-from fleetlab.scale.held_load import BODY_BYTES, DOWN, SPREAD, START_US, backlog, message, reserved_bytes
-from fleetlab.scale.replay import replayed
-from fleetlab.scale.simulated_module import STEP_US, HollowModule, lines_run
+from fleetlab.scale.fit import growth_exponent
+from fleetlab.scale.held_load import (
+    BODY_BYTES,
+    DOWN_COUNT,
+    EVENLY_SPREAD,
+    START_US,
+    make_backlog,
+    make_message,
+    reserved_bytes,
+)
+from fleetlab.scale.replay import replay_in_process
+from fleetlab.scale.simulated_module import STEP_INTERVAL_US, SimulatedModule, count_executed_lines
 from fleetlab.scale.subjects.backlog import (
-    WatchedJournal,
-    ample_bytes,
-    build_up,
-    churn,
-    disk_bytes,
-    fill,
-    journal_readings,
+    MeasuredJournal,
+    accept_all,
+    add_backlog,
+    ample_disk_bytes,
+    measure_journal,
+    required_disk_bytes,
+    run_churn,
 )
 from fleetlab.scale.subjects.replay_process import measure as measure_process
 from relay.driver import HeldMessage
@@ -37,10 +45,10 @@
 STEPS = 20
 
 Points = list[tuple[int, float]]
-Kind = Callable[[Path, int], WatchedJournal]
+Kind = Callable[[Path, int], MeasuredJournal]
 
 
-class CompactsAlways(WatchedJournal):
+class CompactsAlways(MeasuredJournal):
     """A planted quadratic: the whole log is written again for each record."""
 
     def _append(self, records: list[tuple[list[Any], bytes]]) -> None:
@@ -51,7 +59,7 @@
 
 def messages(size: int) -> list[HeldMessage]:
     """A backlog."""
-    return list(backlog(size, SPREAD, SEED))
+    return list(make_backlog(size, EVENLY_SPREAD, SEED))
 
 
 def written(folder: Path, kind: Kind) -> Points:
@@ -59,8 +67,8 @@
     points = []
     for size in SIZES:
         (own := folder / str(size)).mkdir()
-        journal = kind(own, ample_bytes(size))
-        fill(journal, messages(size))
+        journal = kind(own, ample_disk_bytes(size))
+        accept_all(journal, messages(size))
         journal.close()
         points.append((size, float(journal.written_bytes)))
     return points
@@ -69,8 +77,8 @@
 def test_a_backlog_is_one_write_and_the_same_bytes_a_message(tmp_path: Path) -> None:
     for size in SIZES:
         (folder := tmp_path / str(size)).mkdir()
-        journal = WatchedJournal(folder, ample_bytes(size))
-        figures = {r.figure: r.value for r in journal_readings(journal, folder, messages(size), SEED, CHURN)}
+        journal = MeasuredJournal(folder, ample_disk_bytes(size))
+        figures = {r.figure: r.value for r in measure_journal(journal, folder, messages(size), SEED, CHURN)}
         journal.close()
         assert figures["journal_writes"] == size
         assert figures["recovered_messages"] == size
@@ -80,13 +88,13 @@
 
 
 def test_journal_bytes_grow_with_the_messages(tmp_path: Path) -> None:
-    assert exponent(written(tmp_path, WatchedJournal)) == LINEAR
+    assert growth_exponent(written(tmp_path, MeasuredJournal)) == LINEAR
 
 
 def test_a_compaction_at_each_append_is_found(tmp_path: Path) -> None:
     points = written(tmp_path, CompactsAlways)
-    assert exponent(points) != LINEAR
-    assert exponent(points) > 1.8
+    assert growth_exponent(points) != LINEAR
+    assert growth_exponent(points) > 1.8
 
 
 def test_a_compaction_writes_a_backlog_no_more_than_once(tmp_path: Path) -> None:
@@ -94,10 +102,10 @@
     points = []
     for size in SIZES:
         (folder := tmp_path / str(size)).mkdir()
-        journal = WatchedJournal(folder, ample_bytes(size))
-        fill(journal, messages(size))
+        journal = MeasuredJournal(folder, ample_disk_bytes(size))
+        accept_all(journal, messages(size))
         before_bytes = journal.written_bytes
-        churn(journal, Random(SEED), 1_000)
+        run_churn(journal, Random(SEED), 1_000)
         journal.close()
         assert journal.compactions <= MOST_COMPACTIONS
         points.append((size, float(journal.written_bytes - before_bytes)))
@@ -107,17 +115,17 @@
 
 def test_the_disk_that_is_said_to_be_needed_is_enough_and_hardly_more(tmp_path: Path) -> None:
     some = messages(400)
-    probe = Journal(tmp_path, ample_bytes(400))
-    fill(probe, some)
+    probe = Journal(tmp_path, ample_disk_bytes(400))
+    accept_all(probe, some)
     probe.close()
     (folder := tmp_path / "exact").mkdir()
-    journal = Journal(folder, disk_bytes(some, probe.written_bytes))
-    fill(journal, some)
-    more = [message(number, 0, START_US, Random(number)) for number in range(3)]
+    journal = Journal(folder, required_disk_bytes(some, probe.written_bytes))
+    accept_all(journal, some)
+    more = [make_message(number, 0, START_US, Random(number)) for number in range(3)]
     with pytest.raises(JournalFullError, match="budget"):
-        fill(journal, more)
+        accept_all(journal, more)
     journal.close()
-    assert replayed(folder, ample_bytes(400)).recovered >= 400
+    assert replay_in_process(folder, ample_disk_bytes(400)).recovered >= 400
     assert reserved_bytes(some[0]) > BODY_BYTES
 
 
@@ -126,22 +134,22 @@
     points = []
     for size in MODULE_SIZES:
         random = Random(SEED)
-        some = [message(number, 0, START_US, random) for number in range(size)]
-        module = HollowModule({held.message.id: held for held in some}, 100_000, SEED, DOWN + 1)
-        build_up(module, some)
-        assert module.relay.open_messages == size
+        some = [make_message(number, 0, START_US, random) for number in range(size)]
+        module = SimulatedModule({held.message.id: held for held in some}, 100_000, SEED, DOWN_COUNT + 1)
+        add_backlog(module, some)
+        assert module.engine.open_messages == size
         points.append((size, statistics.median(arrival_lines(module, random) for _ in range(STEPS))))
     return points
 
 
-def arrival_lines(module: HollowModule, random: Random) -> int:
+def arrival_lines(module: SimulatedModule, random: Random) -> int:
     """Lines of one step with a message for a destination that is up."""
-    arrival = module.arrival(message(0, DOWN, module.now_us, random))
-    return lines_run(lambda: module.advance(STEP_US, [arrival]))
+    arrival = module.arrival(make_message(0, DOWN_COUNT, module.now_us, random))
+    return count_executed_lines(lambda: module.advance(STEP_INTERVAL_US, [arrival]))
 
 
 def test_an_arrival_beside_a_backlog_looks_at_few_of_its_messages() -> None:
-    assert exponent(steps_lines()) < 0.1
+    assert growth_exponent(steps_lines()) < 0.1
 
 
 def test_a_scan_of_the_backlog_in_each_step_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -153,7 +161,7 @@
         expire(relay)
 
     monkeypatch.setattr(DecisionEngine, "_expire", scan)
-    assert exponent(steps_lines()) > 0.9
+    assert growth_exponent(steps_lines()) > 0.9
 
 
 def test_the_real_process_holds_what_the_journal_holds() -> None:
--- a/tests/scale/test_fleet_outage.py
+++ b/tests/scale/test_fleet_outage.py
@@ -7,7 +7,7 @@
 from decisions.engine import DecisionEngine
 from fleetlab.scale.records import Source
 from fleetlab.scale.subjects import fleet_outage
-from fleetlab.scale.subjects.fleet_outage import DEMAND_PER_S
+from fleetlab.scale.subjects.fleet_outage import MESSAGES_PER_S
 
 SIZES = (5, 60)
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_a_fleet_wastes_no_more_calls_than_there_are_messages_and_spares_what_is_back(size: int) -> None:
     found = figures(size)
-    assert max(wasted(found)) <= DEMAND_PER_S
+    assert max(wasted(found)) <= MESSAGES_PER_S
     assert most_over_bearable(found) <= 1
     ended = sum(found[f"{end}_messages"] for end in ("delivered", "refused", "failed", "open_at_end"))
     assert found["taken_messages"] == ended
@@ -42,7 +42,7 @@
     """Planted: every message is tried at once, as often as it may be."""
     monkeypatch.setattr(DecisionEngine, "_record_failure", lambda *_: None)
     found = figures(SIZES[-1])
-    assert max(wasted(found)) > DEMAND_PER_S
+    assert max(wasted(found)) > MESSAGES_PER_S
     assert most_over_bearable(found) > 1
 
 
--- a/tests/scale/test_framework.py
+++ b/tests/scale/test_framework.py
@@ -10,10 +10,10 @@
 import pytest
 
 from fleetlab.scale import machine
-from fleetlab.scale.command import sizes_of
-from fleetlab.scale.fit import exponent, fitted
+from fleetlab.scale.command import parse_sizes
+from fleetlab.scale.fit import fit_line, growth_exponent
 from fleetlab.scale.records import ScaleError, Source
-from fleetlab.scale.registry import SUBJECTS, subject_named
+from fleetlab.scale.registry import SUBJECTS, find_subject
 from standins.scripted import ROOT
 
 GIB = 1 << 30
@@ -28,7 +28,7 @@
 
 def test_a_line_is_found_with_its_error_and_its_value_at_the_target() -> None:
     points = [(size, 7.0 + 3.0 * size) for size in SIZES]
-    fit = fitted("some_bytes", Source.COUNT, points, target=8000)
+    fit = fit_line("some_bytes", Source.COUNT, points, target=8000)
     assert fit.slope == pytest.approx(3)
     assert fit.intercept == pytest.approx(7)
     assert fit.at_target == pytest.approx(24_007)
@@ -37,7 +37,7 @@
 
 
 def test_a_reading_at_the_target_counts_in_place_of_the_fit() -> None:
-    fit = fitted("some_bytes", Source.COUNT, [(10, 10.0), (20, 20.0), (30, 99.0)], target=30)
+    fit = fit_line("some_bytes", Source.COUNT, [(10, 10.0), (20, 20.0), (30, 99.0)], target=30)
     assert fit.at_target == 99
     assert fit.extrapolated_by == 1
 
@@ -46,11 +46,11 @@
 def test_growth_is_told_from_readings_with_a_constant_part(power: int) -> None:
     """A planted quadratic cannot pass for a line."""
     points = [(size, 5.0 + float(size**power)) for size in SIZES]
-    assert exponent(points) == pytest.approx(power, abs=0.1)
+    assert growth_exponent(points) == pytest.approx(power, abs=0.1)
 
 
 def test_a_figure_that_is_always_zero_has_no_growth() -> None:
-    assert exponent([(size, 0.0) for size in SIZES]) == 0
+    assert growth_exponent([(size, 0.0) for size in SIZES]) == 0
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 )
 def test_a_size_that_cannot_be_measured_is_refused(size: int, reason: str) -> None:
     with pytest.raises(ScaleError, match=reason):
-        machine.check_size(subject_named("endpoint-list"), size, 8 * GIB)
+        machine.check_size(find_subject("endpoint-list"), size, 8 * GIB)
 
 
 def test_every_subject_may_be_measured_at_its_own_sizes_on_a_machine_of_16_gib() -> None:
@@ -75,7 +75,7 @@
 )
 def test_sizes_that_cannot_be_read_are_refused(text: str, reason: str) -> None:
     with pytest.raises(ScaleError, match=reason):
-        sizes_of(text, subject_named("endpoint-list"))
+        parse_sizes(text, find_subject("endpoint-list"))
 
 
 @pytest.mark.parametrize(
--- a/tests/scale/test_lease_holders.py
+++ b/tests/scale/test_lease_holders.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from fleetlab.scale.fit import exponent
+from fleetlab.scale.fit import growth_exponent
 from fleetlab.scale.records import Source
-from fleetlab.scale.simulated_quorum import RENEWALS_PER_TTL, TTL_MS, HollowQuorum
-from fleetlab.scale.subjects.lease_holders import ELECT_S, JOIN_S, held
+from fleetlab.scale.simulated_quorum import RENEWALS_PER_TTL, TTL_MS, SimulatedQuorum
+from fleetlab.scale.subjects.lease_holders import ELECT_S, JOIN_S, measure_renewals
 from quorum.member import Member
 from quorum.messages import Committed
 
@@ -26,17 +26,17 @@
 
 def counts(size: int, member: type[Member] = Member) -> dict[str, float]:
     """The counts of so many holders."""
-    quorum = HollowQuorum(SEED, member)
+    quorum = SimulatedQuorum(SEED, member)
     quorum.run(ELECT_S)
-    quorum.hold(size)
+    quorum.add_holders(size)
     quorum.run(JOIN_S)
-    return {item.figure: item.value for item in held(quorum) if item.source is Source.COUNT}
+    return {item.figure: item.value for item in measure_renewals(quorum) if item.source is Source.COUNT}
 
 
 def growth(figure: str, member: type[Member] = Member) -> float:
     """The power of the number of holders by which a figure grows for each renewal."""
     found = [(size, counts(size, member)) for size in SIZES]
-    return exponent([(size, some[figure] / some["renewals_per_second"]) for size, some in found])
+    return growth_exponent([(size, some[figure] / some["renewals_per_second"]) for size, some in found])
 
 
 @pytest.mark.parametrize("size", [SIZES[0], SIZES[-1]])
@@ -67,4 +67,4 @@
 
 
 def test_a_lease_takes_as_much_of_the_state_at_each_size() -> None:
-    assert exponent([(size, counts(size)["lease_state_bytes"]) for size in SIZES]) < CONSTANT
+    assert growth_exponent([(size, counts(size)["lease_state_bytes"]) for size in SIZES]) < CONSTANT
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fleetlab.scale.fit import exponent
+from fleetlab.scale.fit import growth_exponent
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subjects import members, members_faults
 from fleetlab.sim.members import PeersSim, Plan
@@ -48,14 +48,14 @@
     """The power of the size by which each count grows."""
     by_size = {size: counts(play, size, core) for size in SIZES}
     return {
-        figure: exponent([(size, found[figure]) for size, found in by_size.items()])
+        figure: growth_exponent([(size, found[figure]) for size, found in by_size.items()])
         for figure in by_size[SIZES[0]]
     }
 
 
 def test_what_a_member_sends_in_calm_grows_by_whole_exchanges_alone() -> None:
     """And these no faster than the fleet."""
-    found = growth(members.calm)
+    found = growth(members.measure_calm)
     assert found["calm_member_second_datagrams"] < CONSTANT
     assert found["calm_member_second_datagram_bytes"] < CONSTANT
     assert found["calm_member_second_exchanges"] < CONSTANT
@@ -73,7 +73,7 @@
 
 
 def test_whole_exchanges_with_all_are_found() -> None:
-    found = growth(members.calm, ExchangesWithAll)
+    found = growth(members.measure_calm, ExchangesWithAll)
     assert found["calm_member_second_exchanges"] > CONSTANT
     assert found["calm_member_second_exchange_bytes"] > LINEAR
 
--- a/tests/scale/test_watchers.py
+++ b/tests/scale/test_watchers.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from fleetlab.scale.directory import LOOPBACK, Change, Counts, Directory, Tell
-from fleetlab.scale.fit import exponent
+from fleetlab.scale.directory import LOOPBACK, Counts, Directory, ReadCounts, SetHealth
+from fleetlab.scale.fit import growth_exponent
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subjects import real_watchers, watchers
-from fleetlab.scale.watching import Reached, Watchers
+from fleetlab.scale.watching import CountReached, WatcherGroup
 from standins.platform import EndpointEntry
 from standins.scripted import with_timeout
 
@@ -27,34 +27,34 @@
     def _change(self, entry: EndpointEntry, health: str) -> None:
         super()._change(entry, health)
         for writer in self._watches:
-            self._write(writer, self._whole_line())
+            self._write(writer, self._whole_list_line())
 
 
 async def change_counts(size: int, listed: int, directory_type: type[Directory] = Directory) -> Counts:
     """What a directory writes to that many watchers for one change."""
     directory = directory_type(listed, SEED)
     await directory.start()
-    some = Watchers((LOOPBACK, directory.obey(Tell()).port), size, 0)
+    some = WatcherGroup((LOOPBACK, directory.execute(ReadCounts()).port), size, 0)
     await with_timeout(some.start())
-    before = directory.obey(Tell())
+    before = directory.execute(ReadCounts())
     lines, line_bytes = before.lines, before.line_bytes
-    after = directory.obey(Change(0, "DRAINING"))
+    after = directory.execute(SetHealth(0, "DRAINING"))
     await with_timeout(reached(some, size, listed + 1))
     some.close()
     directory.close()
     return Counts(lines=after.lines - lines, line_bytes=after.line_bytes - line_bytes)
 
 
-async def reached(some: Watchers, size: int, version: int) -> None:
+async def reached(some: WatcherGroup, size: int, version: int) -> None:
     """Wait until all have a version."""
-    while some.obey(Reached(version)).reached < size:
+    while some.execute(CountReached(version)).reached < size:
         await asyncio.sleep(LOOK_S)
 
 
 async def check_change_is_linear(directory_type: type[Directory]) -> None:
     """The bytes of a change grow no faster than a fleet that has as many endpoints as watchers."""
     points = [(size, float((await change_counts(size, size, directory_type)).line_bytes)) for size in SIZES]
-    assert exponent(points) <= 1.1
+    assert growth_exponent(points) <= 1.1
 
 
 async def test_the_bytes_of_a_change_grow_with_the_fleet() -> None:
