--- a/membership/core.py
+++ b/membership/core.py
@@ -364,7 +364,7 @@
         self.local_health = max(0, min(self._settings.max_local_health, self.local_health + by))
 
     def _with_state(self, update: Update, state: State) -> Update:
-        return msgspec.structs.replace(update, state=state, by=self.own_update.name)
+        return msgspec.structs.replace(update, state=state, reported_by=self.own_update.name)
 
     def _ping_failed_member(self) -> None:
         """One that was declared failed: it hears what is held of it, and may refute it."""
@@ -396,7 +396,7 @@
         """One more suspects it; the first few are passed on."""
         if by and by not in held.suspected_by and len(held.suspected_by) <= self._settings.max_confirmations:
             held.suspected_by.add(by)
-            self._enqueue_update(msgspec.structs.replace(held.update, by=by))
+            self._enqueue_update(msgspec.structs.replace(held.update, reported_by=by))
 
     # News
 
@@ -413,7 +413,7 @@
         if self._supersedes(update, held.update):
             self._store_update(update)
         elif update.state is State.SUSPECT is held.update.state and update.version == held.update.version:
-            self._confirm_suspicion(held, update.by)
+            self._confirm_suspicion(held, update.reported_by)
 
     def _supersedes(self, update: Update, held: Update) -> bool:
         """SWIM, 4.2, with generations before numbers; who left is back only by another generation."""
@@ -422,11 +422,13 @@
         if held.state is State.LEFT:
             return False
         if update.state is State.ALIVE:
-            return update.number > held.number
+            return update.incarnation > held.incarnation
         if update.state is State.SUSPECT:
-            return update.number > held.number or (update.number == held.number and held.state is State.ALIVE)
-        return update.number >= held.number and (
-            held.state in LIVE_STATES or update.state is State.LEFT or update.number > held.number
+            return update.incarnation > held.incarnation or (
+                update.incarnation == held.incarnation and held.state is State.ALIVE
+            )
+        return update.incarnation >= held.incarnation and (
+            held.state in LIVE_STATES or update.state is State.LEFT or update.incarnation > held.incarnation
         )
 
     def _apply_update_of_self(self, update: Update) -> None:
@@ -436,13 +438,17 @@
             self._outputs.append(Replaced(update))
             return
         held_so = update.generation == self.own_update.generation and update.state is not State.ALIVE
-        if held_so and update.number >= self.own_update.number and self.own_update.state is not State.LEFT:
+        if (
+            held_so
+            and update.incarnation >= self.own_update.incarnation
+            and self.own_update.state is not State.LEFT
+        ):
             self._adjust_local_health(1)
-            self._store_update(self._change_own_update(State.ALIVE, update.number + 1))
+            self._store_update(self._change_own_update(State.ALIVE, update.incarnation + 1))
 
     def _change_own_update(self, state: State, number: int | None = None) -> Update:
         """This member's own word from now on."""
-        changes = {"state": state} | ({} if number is None else {"number": number})
+        changes = {"state": state} | ({} if number is None else {"incarnation": number})
         self.own_update = msgspec.structs.replace(self.own_update, **changes)
         return self.own_update
 
@@ -454,7 +460,7 @@
         self._index_member(update)
         self.members[update.name] = new = MemberRecord(update, self._now_us)
         if update.state is State.SUSPECT:
-            new.suspected_by, new.suspected_since_us = {update.by}, self._now_us
+            new.suspected_by, new.suspected_since_us = {update.reported_by}, self._now_us
         self._enqueue_update(update)
         if before is not update.state or newer:
             self._outputs.append(StateChanged(update, before))
--- a/membership/messages.py
+++ b/membership/messages.py
@@ -29,14 +29,14 @@
     address: str
     zone: str
     generation: int
-    number: int
+    incarnation: int
     state: State
-    by: str = ""  # who suspects it
+    reported_by: str = ""  # who suspects it
 
     @property
     def version(self) -> tuple[int, int]:
         """By which what is said of one member is ordered."""
-        return self.generation, self.number
+        return self.generation, self.incarnation
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
--- a/membership/pages.py
+++ b/membership/pages.py
@@ -51,7 +51,7 @@
     lines = [
         MemberLine(
             update.name, update.address, update.zone, update.generation, State(update.state).name.lower(),
-            update.by, round((now_us - held[update.name].since_us) / 1e6, 3),
+            update.reported_by, round((now_us - held[update.name].since_us) / 1e6, 3),
         )
         for update in shell.view()
     ]  # fmt: skip
--- a/membership/trace.py
+++ b/membership/trace.py
@@ -29,7 +29,9 @@
 
     def changed(change: StateChanged) -> None:
         update = change.update
-        seen = ViewChange(time.monotonic(), generation, update.name, update.state.name.lower(), update.by)
+        seen = ViewChange(
+            time.monotonic(), generation, update.name, update.state.name.lower(), update.reported_by
+        )
         file.write(msgspec.json.encode(seen) + b"\n")
 
     return changed
--- a/membership/transport.py
+++ b/membership/transport.py
@@ -160,10 +160,15 @@
         was = "" if before is None else before.name.lower()
         self.history.append(
             HistoryEntry(
-                time.time(), update.name, update.generation, update.state.name.lower(), was, update.by
+                time.time(),
+                update.name,
+                update.generation,
+                update.state.name.lower(),
+                was,
+                update.reported_by,
             )
         )
-        by = f" by the word of {update.by}" if update.by else ""
+        by = f" by the word of {update.reported_by}" if update.reported_by else ""
         self.update_fleet_tracker()
         LOG.info("%s is %s%s, was %s", update.name, update.state.name.lower(), by, was or "unknown")
         self._on_change(change)
--- a/tests/membership/test_sim.py
+++ b/tests/membership/test_sim.py
@@ -129,7 +129,7 @@
     """What is said of an old life counts for the new one."""
 
     def _supersedes(self, update: Update, held: Update) -> bool:
-        return update.state > held.state or update.number > held.number
+        return update.state > held.state or update.incarnation > held.incarnation
 
 
 class NumberIgnored(MembershipCore):
