--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -236,7 +236,7 @@
 
 
 def test_a_sender_beyond_its_rate_is_dropped_and_others_are_not() -> None:
-    rates = SenderRateLimiter(per_s=10, burst=5, most=3)
+    rates = SenderRateLimiter(per_s=10, burst=5, max_senders=3)
     assert sum(rates.allow(("a", 1), 0.0) for _ in range(20)) == 5
     assert rates.allow(("b", 1), 0.0)
     assert sum(rates.allow(("a", 1), 1.0) for _ in range(20)) == 5, "no more than a burst comes back"
