--- a/membership/__main__.py
+++ b/membership/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m membership CONFIG`` runs a member; ``... view CONFIG`` tells what it holds."""
+"""``python -m membership CONFIG`` runs a member; ``... view CONFIG`` prints the view of one that runs."""
 
 from __future__ import annotations
 
@@ -22,60 +22,63 @@
 
 LOG = logging.getLogger("membership")
 USAGE = "usage: python -m membership CONFIG | view CONFIG"
-EXIT_REPLACED, EXIT_BAD_CONFIG = (
-    3,
-    2,
-)  # exit codes: a later life goes under this name; the configuration or its use
-PAGE_TIMEOUT_S = 2.0  # s for a page
+EXIT_REPLACED = 3  # a later life runs under this member's name
+EXIT_BAD_CONFIG = 2  # the configuration, the generation file or the arguments cannot be used
+PAGE_TIMEOUT_S = 2.0  # for reading a page
 
 
 async def serve(config: Config) -> int:
-    """Run a member until SIGTERM, SIGINT or a later life of its name; the exit code."""
-    loop, over = asyncio.get_running_loop(), asyncio.Event()
+    """Run a member until SIGTERM, SIGINT or a later life of its name; returns the exit code."""
+    loop, stopped = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+        loop.add_signal_handler(number, stopped.set)
     folder = Path(config.folder)
     generation = next_generation(folder, time.time_ns() // 1_000_000)
-    shell = MembershipService(
+    service = MembershipService(
         config, generation, trace_writer(folder / TRACE_FILE, generation) if config.trace else lambda _: None
     )
-    await shell.start()
-    served = PageServer(build_pages(shell))
+    await service.start()
+    page_server = PageServer(build_pages(service))
     if config.operators:
-        await served.start(*parse_address(config.operators))
-    LOG.info("%s, life %d, at %s", config.name, shell.core.own_update.generation, config.listen)
-    ended = loop.create_task(over.wait())
-    either: set[asyncio.Future[Any]] = {ended, shell.replaced}
-    await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-    replaced = shell.replaced.done()
+        await page_server.start(*parse_address(config.operators))
+    LOG.info(
+        "%s: started as life %d, listening at %s",
+        config.name,
+        service.core.own_update.generation,
+        config.listen,
+    )
+    stop_task = loop.create_task(stopped.wait())
+    ends: set[asyncio.Future[Any]] = {stop_task, service.replaced}
+    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+    replaced = service.replaced.done()
     if replaced:
-        later = shell.replaced.result()
+        later = service.replaced.result()
         LOG.error(
             "%s: a later life, %d, is at %s; this one ends", config.name, later.generation, later.address
         )
-    ended.cancel()
-    served.stop()
-    await shell.stop()
+    stop_task.cancel()
+    page_server.stop()
+    await service.stop()
     return EXIT_REPLACED if replaced else 0
 
 
 async def read_view(config: Config) -> View:
-    """The view of the member that a configuration describes; ``OSError`` where nobody answers there."""
+    """The view of the running member that a configuration describes; ``OSError`` if it does not answer."""
     if not config.operators:
-        raise ConfigError("operators: the member has no such address")
+        raise ConfigError("operators: the member has no operators' address to read its view from")
     host, port = parse_address(config.operators)
     async with asyncio.timeout(PAGE_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(host, port)
         try:
             writer.write(b"GET /view HTTP/1.1\r\nHost: membership\r\n\r\n")
-            answer = await reader.read()
+            response = await reader.read()
         finally:
             writer.close()
-    return msgspec.json.decode(answer.partition(b"\r\n\r\n")[2], type=View)
+    return msgspec.json.decode(response.partition(b"\r\n\r\n")[2], type=View)
 
 
 def format_view(view: View) -> str:
-    """A view in lines."""
+    """A view as text: a line about the member itself, then one for each known member."""
     head = (
         f"{view.name}, life {view.generation}: {view.living} living, digest {view.digest}, {view.standing} "
         f"of {view.settled}, late {view.late}"
@@ -89,7 +92,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run or ask; one line and 2 where that cannot be done."""
+    """Run a member or print its view; returns the exit code, after one line on standard error if not 0."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
     try:
         match arguments:
