--- a/membership/__init__.py
+++ b/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The relays know each other: who is there, who has failed, by SWIM with its later refinements."""
+"""Group membership of the relays: who is alive and who has failed, by SWIM with the Lifeguard extensions."""
