--- a/membership/sampling_pool.py
+++ b/membership/sampling_pool.py
@@ -1,4 +1,4 @@
-"""Names from which some are drawn, at a cost that does not grow with how many there are."""
+"""A set of names with random sampling, at a cost that does not grow with the size of the set."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class SamplingPool:
-    """A set of names that can be drawn from."""
+    """A set of names that can be sampled uniformly."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
-        self._positions: dict[str, int] = {}
+        self._positions: dict[str, int] = {}  # of each name in the list
 
     def __len__(self) -> int:
         return len(self._names)
@@ -23,22 +23,26 @@
         return iter(self._names)
 
     def add(self, name: str) -> None:
-        """Take a name in; one that is there stays."""
+        """Add a name; no effect if it is present."""
         if name not in self._positions:
             self._positions[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Let a name go, where it is there: the last one takes its place."""
-        place = self._positions.pop(name, None)
-        if place is None:
+        """Remove a name if it is present: the last one of the list moves to its position."""
+        position = self._positions.pop(name, None)
+        if position is None:
             return
         last = self._names.pop()
         if last != name:
-            self._names[place], self._positions[last] = last, place
-
-    def sample(self, random: Random, most: int, *without: str) -> list[str]:
-        """So many of them at most, each as likely as any other; ``without`` names that are not meant."""
-        spared = {name for name in without if name in self._positions}
-        some = random.sample(range(len(self._names)), min(most + len(spared), len(self._names)))
-        return [name for place in some if (name := self._names[place]) not in spared][:most]
+            self._names[position], self._positions[last] = last, position
+
+    def sample(self, random: Random, limit: int, *excluded: str) -> list[str]:
+        """Up to ``limit`` different names except the ``excluded`` ones, each equally likely."""
+        present_excluded = {name for name in excluded if name in self._positions}
+        positions = random.sample(
+            range(len(self._names)), min(limit + len(present_excluded), len(self._names))
+        )
+        return [name for position in positions if (name := self._names[position]) not in present_excluded][
+            :limit
+        ]
