--- a/membership/trace.py
+++ b/membership/trace.py
@@ -1,4 +1,4 @@
-"""Each change of a member's view, written down for a proving ground."""
+"""A trace file with each change of a member's view, which the test lab checks."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class ViewChange(msgspec.Struct, frozen=True):
-    """A change of a view as it is written down; all processes of a machine share the clock."""
+    """A change of a view as it stands in the trace; the field names are the record's keys."""
 
-    at_s: float
-    generation: int  # of the member that holds it
+    at_s: float  # monotonic clock, which all processes of a machine share
+    generation: int  # of the member that writes the trace
     name: str
     state: str
-    by: str
+    by: str  # the member that reported the state
 
 
 def trace_writer(path: Path, generation: int) -> Callable[[StateChanged], None]:
-    """Write each change of the view behind the others."""
+    """A callback that appends each change of the view to the trace at ``path``."""
     file = path.open("ab", buffering=0)
 
-    def changed(change: StateChanged) -> None:
+    def write_change(change: StateChanged) -> None:
         update = change.update
-        seen = ViewChange(
+        record = ViewChange(
             time.monotonic(), generation, update.name, update.state.name.lower(), update.reported_by
         )
-        file.write(msgspec.json.encode(seen) + b"\n")
+        file.write(msgspec.json.encode(record) + b"\n")
 
-    return changed
+    return write_change
