--- a/membership/messages.py
+++ b/membership/messages.py
@@ -1,4 +1,6 @@
-"""What members say to each other, and what the core asks of its shell.
+"""The messages between members, and the outputs of the core to the service around it.
+
+Messages are encoded as arrays: the order of fields and the tags are the wire format.
 
 Names follow Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
 Membership Protocol" (2002), and Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More
@@ -14,7 +16,7 @@
 
 
 class State(IntEnum):
-    """What is held of a member."""
+    """A member's state; pages and traces show the names in lower case."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,24 +25,24 @@
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member's life; ``generation`` is of the life, ``number`` grows by its own word."""
+    """The state of a member's life: the unit of dissemination."""
 
     name: str
     address: str
     zone: str
-    generation: int
-    incarnation: int
+    generation: int  # of the life: a restart has a higher one
+    incarnation: int  # raised by the member itself only, to refute a suspicion or failure
     state: State
-    reported_by: str = ""  # who suspects it
+    reported_by: str = ""  # name of the member that suspects it, or declared it failed
 
     @property
     def version(self) -> tuple[int, int]:
-        """By which what is said of one member is ordered."""
+        """The order of updates about one member: generation first, then incarnation."""
         return self.generation, self.incarnation
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Is that life there? ``sender`` is the asker's address, to which the answer goes."""
+    """Ask a member for an ack, which goes to the sender's address."""
 
     seq: int
     target_name: str
@@ -49,14 +51,14 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """It is."""
+    """The answer to a ping, or to a ping-req whose target has answered."""
 
     seq: int
     updates: tuple[Update, ...] = ()
 
 
 class AskFor(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ping-req: ask that member in the sender's place; ``Ack``, or ``Nack`` where it does not answer."""
+    """SWIM's ping-req: ping the target for the sender; answer ``Ack``, or ``Nack`` if none comes in time."""
 
     seq: int
     target_name: str
@@ -66,20 +68,20 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The one that was asked for does not answer here either; but who was asked to ask is there."""
+    """Lifeguard's nack to a ping-req: the target did not answer, but the member that was asked did."""
 
     seq: int
     updates: tuple[Update, ...] = ()
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """News alone."""
+    """Updates that are not piggybacked on another message."""
 
     updates: tuple[Update, ...]
 
 
 class Exchange(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """All that is held, by a connection; ``answer`` asks for the same in return."""
+    """Anti-entropy: the sender's whole view, by a connection; ``wants_reply`` asks for the receiver's."""
 
     sender_address: str
     updates: tuple[Update, ...]
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message for an address; ``Exchange`` goes by a connection, all others by datagrams."""
+    """Send a message; an ``Exchange`` goes by a connection, all others by datagrams."""
 
     address: str
     message: Message
@@ -99,15 +101,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """An event: what is held of a member is another now. Events are in order."""
+    """A member's state or life has changed in this member's view; these come in the order of the changes."""
 
     update: Update
-    previous_state: State | None  # None: it was not known
+    previous_state: State | None  # None: the member was not known
 
 
 @dataclass(frozen=True, slots=True)
 class Replaced:
-    """An event: a later life goes under this one's name, which says nothing from now on."""
+    """A later life runs under this member's name; this one sends nothing from now on."""
 
     update: Update
 
