--- a/membership/generation.py
+++ b/membership/generation.py
@@ -1,4 +1,4 @@
-"""The number of a life, kept in the member's folder: a restart is a later life, whatever others say of it."""
+"""The generation of a life, kept in the member's folder, so that a restart supersedes all earlier lives."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 
 class GenerationError(ValueError):
-    """The folder does not tell the number of the last life."""
+    """The last life's generation cannot be read, or the new one cannot be stored."""
 
 
 def next_generation(folder: Path, wall_ms: int) -> int:
-    """The number of a new life: above the last one's, and not under the wall clock.
+    """Choose and store a new life's generation: above the last one's, and at least the wall clock in ms.
 
-    With the folder lost the clock alone puts it above former lives; with a clock set back the folder does.
-    ``GenerationError`` names a file that cannot be read: a guess could let an old life speak for the new one.
+    If the folder is lost the clock alone keeps it above earlier lives; if the clock was set back the folder
+    does. ``GenerationError`` names a file that cannot be read or written: with a guess, updates about an old
+    life could count for the new one.
     """
-    path, spare = folder / GENERATION_FILE, folder / f"{GENERATION_FILE}.new"
+    path, temporary_path = folder / GENERATION_FILE, folder / f"{GENERATION_FILE}.new"
     try:
         last = int(path.read_text(encoding="ascii"))
     except FileNotFoundError:
@@ -28,11 +29,11 @@
     generation = max(last + 1, wall_ms)
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        with spare.open("w", encoding="ascii") as file:
+        with temporary_path.open("w", encoding="ascii") as file:
             file.write(str(generation))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(spare, path)
+        os.replace(temporary_path, path)
     except OSError as error:
         raise GenerationError(f"{path}: {error}") from None
     return generation
