--- a/sweeper/__main__.py
+++ b/sweeper/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m sweeper CONFIG`` runs a sweeper; ``... summary CONFIG`` shows the fleet."""
+"""``python -m sweeper CONFIG`` runs a sweeper; ``... summary CONFIG`` prints the fleet's summary."""
 
 from __future__ import annotations
 
@@ -21,36 +21,40 @@
 
 
 async def serve(config: Config) -> None:
-    """Sweep until SIGTERM or SIGINT; then the lease is given back."""
+    """Sweep until SIGTERM or SIGINT, then give back the leases."""
     await Sweeper(config).run(stop_event())
 
 
 @app.command()
 def run(config: Annotated[Path, typer.Argument(help="The sweeper's TOML file.")]) -> None:
-    """Take part in sweeping a fleet."""
-    loaded = load(config)
+    """Run one of a fleet's sweepers."""
+    settings = load(config)
     configure_logging()
-    asyncio.run(serve(loaded))
+    asyncio.run(serve(settings))
 
 
 @app.command()
 def summary(config: Annotated[Path, typer.Argument(help="The TOML file of any sweeper.")]) -> None:
-    """What the sweeper has found, as JSON; 1 where the quorum does not tell."""
-    loaded = load(config)
-    tasks = assign_relays_to_tasks(loaded.relays)
+    """Print the fleet's summary as JSON; exits with 1 if the quorum does not answer."""
+    settings = load(config)
+    tasks = assign_relays_to_tasks(settings.relays)
 
-    async def ask() -> dict[str, object]:
-        client = Client(loaded.quorum, loaded.name)
+    async def read() -> dict[str, object]:
+        client = Client(settings.quorum, settings.name)
         try:
             return fleet_summary(await read_summaries(client, tasks))
         finally:
             client.close()
 
-    print(msgspec.json.format(msgspec.json.encode(asyncio.run(ask()))).decode())
+    print(msgspec.json.format(msgspec.json.encode(asyncio.run(read()))).decode())
 
 
 def main() -> int:
-    """Run; 2 and one line where something cannot be used, 1 where a quorum does not do what was asked."""
+    """Run the command line; returns the exit code.
+
+    After one line on standard error that is 2 for unusable settings or addresses, and 1 if a quorum does not
+    do what was asked.
+    """
     return run_command_line(app, "sweeper", (ConfigError, OSError))
 
 
