--- a/sweeper/__init__.py
+++ b/sweeper/__init__.py
@@ -1,1 +1,1 @@
-"""One sweeper for a fleet: reads every relay's figures at a bounded pace, and keeps a summary of them all."""
+"""Reads the figures of all relays of a fleet at a bounded pace, and keeps a summary of them in the quorum."""
