--- a/operatorpages/__init__.py
+++ b/operatorpages/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' address of a service: pages by HTTP/1.1, one call a connection, bounded in size and time."""
+"""A service's pages for operators by HTTP/1.1: one request a connection, bounded in size and time."""
 
 from __future__ import annotations
 
@@ -8,20 +8,18 @@
 
 import h11
 
-MAX_CONNECTIONS = 64
-CALL_TIMEOUT_S = 2.0  # s for a whole call
-MAX_HEAD_BYTES = 8 * 1024  # bytes
-READ_CHUNK_BYTES = 16 * 1024
-TEXT_TYPE, JSON_TYPE, METRICS_TYPE = (
-    "text/plain; charset=utf-8",
-    "application/json",
-    "text/plain; version=0.0.4",
-)
+MAX_CONNECTIONS = 64  # at once; further ones are aborted
+CALL_TIMEOUT_S = 2.0  # for a whole request and its response
+MAX_HEAD_BYTES = 8 * 1024  # of a request line and headers
+READ_CHUNK_BYTES = 16 * 1024  # read from a connection at once
+TEXT_TYPE = "text/plain; charset=utf-8"
+JSON_TYPE = "application/json"
+METRICS_TYPE = "text/plain; version=0.0.4"  # Prometheus' text format
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """An answer."""
+    """A response."""
 
     status: int
     body: bytes
@@ -32,7 +30,7 @@
 
 
 class PageServer:
-    """A server of pages by path; only ``GET`` is known, whatever changes something has a way of its own."""
+    """Serves pages by path. Only ``GET`` is allowed: the pages change nothing."""
 
     def __init__(self, pages: Mapping[str, PageHandler]) -> None:
         self._pages = dict(pages)
@@ -40,13 +38,13 @@
         self._connections: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str, port: int) -> tuple[str, int]:
-        """Listen; where it does. ``OSError`` where that address cannot be had."""
+        """Listen, and return the bound host and port; ``OSError`` if the address cannot be bound."""
         self._server = await asyncio.start_server(self._handle_connection, host, port, limit=MAX_HEAD_BYTES)
         name = self._server.sockets[0].getsockname()
         return str(name[0]), int(name[1])
 
     def stop(self) -> None:
-        """End, and break off who is here."""
+        """Close the server, and abort the open connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._connections):
@@ -84,7 +82,7 @@
         await writer.drain()
 
     async def _read_request(self, http: h11.Connection, reader: asyncio.StreamReader) -> Page | None:
-        """The page of the request that comes; None where none does."""
+        """Read a request, and return its page; None if the client ends without one."""
         while (event := http.next_event()) is h11.NEED_DATA:
             http.receive_data(await reader.read(READ_CHUNK_BYTES))
         if not isinstance(event, h11.Request):
@@ -92,8 +90,8 @@
         path = event.target.decode("ascii", "replace").partition("?")[0]
         if event.method != b"GET":
             return Page(405, b"GET alone\n")
-        serve = self._pages.get(path)
-        if serve is None:
+        handler = self._pages.get(path)
+        if handler is None:
             return Page(404, f"no such page; there are {', '.join(sorted(self._pages))}\n".encode())
-        made = serve()
-        return made if isinstance(made, Page) else await made
+        page = handler()
+        return page if isinstance(page, Page) else await page
