--- a/tomlconfig/__init__.py
+++ b/tomlconfig/__init__.py
@@ -1,4 +1,4 @@
-"""Reading a service's TOML file: what cannot be used is one line with file and key."""
+"""Reads a service's TOML file; an error is one line with file and key."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used."""
+    """The configuration file cannot be read, or has a value that is not allowed."""
 
 
 def parse_address(text: str) -> Address:
-    """``host:port``; ``ConfigError`` where it is none."""
-    host, sign, port = text.rpartition(":")
-    if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ConfigError(f"not an address: {text!r}")
+    """The host and port (1 to 65535) of ``host:port``; ``ConfigError`` if the text is not of this form."""
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+        raise ConfigError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
 def check_address(key: str, text: str) -> None:
-    """``ConfigError`` with the key where a text is no address."""
+    """Raise a ``ConfigError`` that begins with the key if the text is not an address."""
     try:
         parse_address(text)
     except ConfigError as error:
         raise ConfigError(f"{key}: {error}") from None
 
 
-def read_config(path: Path, kind: type[T], check: Callable[[T], None]) -> T:
-    """A TOML file of a service's options; ``ConfigError`` names file and key."""
+def read_config(path: Path, config_type: type[T], check: Callable[[T], None]) -> T:
+    """Read a TOML file into ``config_type`` and ``check`` it; a ``ConfigError`` names file and key."""
     try:
-        config = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), kind)
+        config = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), config_type)
         check(config)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
