--- a/tests/membership/__init__.py
+++ b/tests/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of members that know each other."""
+"""Tests of the group membership."""
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,4 +1,4 @@
-"""Members as real processes: lost, stopped, restarted, doubled, spoken to in garbage."""
+"""Members as real processes: killed, stopped, restarted, started twice, and sent garbage."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest_asyncio.fixture
 async def five(tmp_path: Path) -> AsyncIterator[Members]:
-    """Five members that agree."""
+    """Five members whose views agree."""
     members = Members(tmp_path, 5)
     await members.start(*members.names)
     await members.agreed(*members.names)
@@ -36,7 +36,7 @@
     await members.stop()
 
 
-async def test_a_killed_member_is_found_by_all_and_its_next_life_is_taken_for_one(five: Members) -> None:
+async def test_a_killed_member_is_detected_by_all_and_its_restart_is_a_new_life(five: Members) -> None:
     rest = [name for name in five.names if name != "m3"]
     before = {item["name"]: item["generation"] for item in (await five.view("m0"))["members"]}
     await five.kill("m3")
@@ -48,30 +48,30 @@
     assert after["m3"] > before.pop("m3")
     assert all(after[name] == generation for name, generation in before.items())
     for name in rest:
-        seen = await five.states_seen(name)
-        assert not {(other, "failed") for other in rest} & seen, "nobody else was declared failed"
+        states_seen = await five.states_seen(name)
+        assert not {(other, "failed") for other in rest} & states_seen, "no other was declared failed"
 
 
-async def test_a_member_that_stands_still_is_a_suspect_and_refutes_it(five: Members) -> None:
-    """SIGSTOP until the others suspect it: it goes on in the same life, and by its own word."""
-    life = (await five.view("m2"))["generation"]
+async def test_a_stopped_member_is_suspected_and_refutes_it(five: Members) -> None:
+    """SIGSTOP until another member suspects it: after SIGCONT it refutes, and keeps its generation."""
+    generation = (await five.view("m2"))["generation"]
     rest = [name for name in five.names if name != "m2"]
     five.signal(signal.SIGSTOP, "m2")
     await five.until(rest[:1], lambda view: "m2" in states(view, "suspect", "failed"))
     five.signal(signal.SIGCONT, "m2")
     await five.agreed(*five.names)
-    assert (await five.view("m2"))["generation"] == life
+    assert (await five.view("m2"))["generation"] == generation
 
 
-async def test_most_are_killed_at_once_and_come_back_at_once(five: Members) -> None:
-    """Both of the seeds among them."""
+async def test_most_members_are_killed_at_once_and_return_at_once(five: Members) -> None:
+    """Both seeds are among them."""
     await five.kill("m0", "m1", "m3", "m4")
     await five.until(["m2"], lambda view: len(states(view, "failed")) == 4)
     await five.start("m0", "m1", "m3", "m4")
     await five.agreed(*five.names)
 
 
-async def test_one_that_leaves_is_not_taken_for_failed(five: Members) -> None:
+async def test_a_member_that_leaves_is_not_declared_failed(five: Members) -> None:
     rest = five.names[:4]
     five.signal(signal.SIGTERM, "m4")
     assert await five.processes["m4"].wait() == 0
@@ -80,8 +80,8 @@
         assert ("m4", "failed") not in await five.states_seen(name)
 
 
-async def test_of_two_lives_under_one_name_the_earlier_ends(five: Members) -> None:
-    """The same name at another address, with a folder of its own: the later life is the member."""
+async def test_the_earlier_of_two_lives_under_one_name_ends(five: Members) -> None:
+    """The same name is started at another address and without the folder: the later life stays a member."""
     first = five.processes["m4"]
     five.addresses["m4"] = five.addresses["m4"].rsplit(".", 1)[0] + ".99"
     shutil.rmtree(five.folder / "m4")
@@ -92,8 +92,8 @@
     assert addresses["m4"] == f"{five.addresses['m4']}:{PORT}"
 
 
-async def test_members_that_come_up_without_any_seed_find_together(tmp_path: Path) -> None:
-    """The seeds are down at the start, and come late."""
+async def test_members_that_start_before_the_seeds_join_later(tmp_path: Path) -> None:
+    """They find each other once the seeds run."""
     members = Members(tmp_path, 4)
     try:
         await members.start("m2", "m3")
@@ -116,8 +116,8 @@
         await members.stop()
 
 
-async def test_what_cannot_be_read_is_counted_never_answered_and_changes_nothing(five: Members) -> None:
-    """Garbage, cut, another version, another fleet, and more than a sender may send."""
+async def test_unreadable_datagrams_are_counted_not_answered_and_change_nothing(five: Members) -> None:
+    """Garbage, a truncated message, another version, another fleet, and a flood beyond a sender's rate."""
     digest = await five.agreed(*five.names)
     stranger = Update("stranger", "127.0.0.1:9", "", 1 << 50, 0, State.ALIVE)
     whole = wire.encode(FLEET, Gossip((stranger,)))
@@ -125,7 +125,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
         target = (five.addresses["m0"], PORT)
-        here = "{}:{}".format(*sock.getsockname())
+        own_address = "{}:{}".format(*sock.getsockname())
         for data in (
             b"",
             b"x",
@@ -133,7 +133,7 @@
             whole[:-3],
             whole[:2] + bytes([9]) + whole[3:],
             wire.encode(wire.hash_fleet_name("other"), Gossip((stranger,))),
-            wire.encode(wire.hash_fleet_name("other"), Ping(1, "m0", here)),
+            wire.encode(wire.hash_fleet_name("other"), Ping(1, "m0", own_address)),
         ):
             sock.sendto(data, target)
         for _ in range(2_000):
@@ -150,7 +150,7 @@
 
 
 async def test_a_replayed_datagram_of_an_old_life_changes_nothing(five: Members) -> None:
-    """Yesterday's word that a member failed, of the life that it had then."""
+    """An update that a member failed, about the life before the current one."""
     view = {item["name"]: item for item in (await five.view("m0"))["members"]}
     old = Update("m1", view["m1"]["address"], "", view["m1"]["generation"] - 1, 99, State.FAILED, "m2")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -201,18 +201,18 @@
         config.load(path)
 
 
-def test_a_life_is_later_than_the_last_one_whatever_the_clock_says(tmp_path: Path) -> None:
+def test_a_generation_is_above_the_last_one_whatever_the_clock_says(tmp_path: Path) -> None:
     assert next_generation(tmp_path, 1_000) == 1_000
     assert next_generation(tmp_path, 900) == 1_001, "the clock was set back"
     (tmp_path / "generation").unlink()
-    assert next_generation(tmp_path, 2_000) == 2_000, "the folder is lost"
+    assert next_generation(tmp_path, 2_000) == 2_000, "the file was lost"
     (tmp_path / "generation").write_text("seven")
     with pytest.raises(GenerationError, match="generation"):
         next_generation(tmp_path, 3_000)
 
 
-def test_a_datagram_keeps_under_its_bound_and_comes_back_whole() -> None:
-    """The news that do not fit are left out from the end."""
+def test_a_datagram_keeps_its_size_limit_and_decodes_to_the_message() -> None:
+    """Updates that do not fit are dropped from the end."""
     updates = tuple(
         Update(f"member-{n:04}", f"127.1.2.3:{7000 + n}", "zone", 1 << 45, n, State.ALIVE) for n in range(40)
     )
@@ -225,21 +225,21 @@
 
 
 @pytest.mark.parametrize("at", range(0, 60, 3))
-def test_bytes_that_are_spoilt_or_cut_are_never_taken_for_another_kind_of_error(at: int) -> None:
+def test_corrupt_or_truncated_bytes_raise_nothing_but_a_wire_error(at: int) -> None:
     data = wire.encode(FLEET, Gossip((Update("m", "127.0.0.1:1", "z", 5, 6, State.SUSPECT, "n"),)))
-    for spoilt in (data[:at], data[:at] + b"\xff" + data[at + 1 :], data[:at] + b"\x00" * 9 + data[at:]):
+    for corrupt in (data[:at], data[:at] + b"\xff" + data[at + 1 :], data[:at] + b"\x00" * 9 + data[at:]):
         try:
-            got = wire.decode(FLEET, spoilt)
+            got = wire.decode(FLEET, corrupt)
         except wire.WireError:
             continue
         assert msgspec.to_builtins(got) is not None
 
 
-def test_a_sender_beyond_its_rate_is_dropped_and_others_are_not() -> None:
-    rates = SenderRateLimiter(per_s=10, burst=5, max_senders=3)
-    assert sum(rates.allow(("a", 1), 0.0) for _ in range(20)) == 5
-    assert rates.allow(("b", 1), 0.0)
-    assert sum(rates.allow(("a", 1), 1.0) for _ in range(20)) == 5, "no more than a burst comes back"
+def test_a_sender_beyond_its_rate_is_limited_and_others_are_not() -> None:
+    limiter = SenderRateLimiter(per_s=10, burst=5, max_senders=3)
+    assert sum(limiter.allow(("a", 1), 0.0) for _ in range(20)) == 5
+    assert limiter.allow(("b", 1), 0.0)
+    assert sum(limiter.allow(("a", 1), 1.0) for _ in range(20)) == 5, "a bucket refills to the burst at most"
     for port in range(10):
-        rates.allow(("c", port), 1.0)
-    assert rates.allow(("a", 1), 1.0), "the table is bounded, the oldest is forgotten"
+        limiter.allow(("c", port), 1.0)
+    assert limiter.allow(("a", 1), 1.0), "the table is bounded, the least recent sender is forgotten"
