--- a/membership/config.py
+++ b/membership/config.py
@@ -61,7 +61,7 @@
     if len(config.zone) > MAX_NAME_CHARS:
         raise ConfigError(f"zone: has to have at most {MAX_NAME_CHARS} characters")
     if len(config.seeds) > MAX_SEEDS:
-        raise ConfigError(f"seeds: the number of addresses is {len(config.seeds)}, allowed are at most {MAX_SEEDS}")
+        raise ConfigError(f"seeds: there are {len(config.seeds)}, allowed are at most {MAX_SEEDS}")
     check_address("listen", config.listen)
     for text in config.seeds:
         check_address("seeds", text)
--- a/membership/transport.py
+++ b/membership/transport.py
@@ -261,9 +261,7 @@
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 (length,) = wire.LENGTH_PREFIX.unpack(await reader.readexactly(wire.LENGTH_PREFIX.size))
                 if length > wire.MAX_FRAME_BYTES:
-                    raise ValueError(
-                        f"{length} bytes"
-                    )
+                    raise ValueError(f"{length} bytes")
                 data = await reader.readexactly(length)
             self._receive_bytes(data, "exchanges")
         except (OSError, TimeoutError, ValueError, EOFError):
