--- a/membership/core.py
+++ b/membership/core.py
@@ -122,7 +122,7 @@
         self._probe_order: list[str] = []  # members still to be probed in this round, the next one last
         self._probes: dict[int, Probe] = {}  # by sequence number
         self._last_seq = random.randrange(1 << 30)
-        self.local_health = 0  # Lifeguard's score: 0 is healthy, each step stretches the probe times by one
+        self.local_health = 0  # Lifeguard's score: 0 is healthy; probe times are multiplied by the score + 1
         self.replaced = False  # a later life runs under this name; this one has to be silent
         self._next_probe_us = now_us + random.randrange(settings.probe_period_us)
         self._next_gossip_us = now_us + settings.gossip_interval_us
@@ -194,6 +194,7 @@
         """Do everything that is due at ``now_us``."""
         self._now_us = now_us
         if self.replaced:
+            # Nothing is sent any more; the next wake-up is only postponed.
             self._next_probe_us = self._next_gossip_us = self._next_exchange_us = (
                 self._next_failed_probe_us
             ) = now_us + 60 * SECOND_US
@@ -286,7 +287,7 @@
             self._start_probe(self.members[self._probe_order.pop()].update)
 
     def _start_probe(self, target: Update) -> None:
-        """Ping a member; both timeouts are stretched by the local health score."""
+        """Ping a member; a poor local health score lengthens both timeouts."""
         settings, health_factor = self._settings, self.local_health + 1
         seq = self._next_seq()
         deadline_us = self._now_us + settings.probe_period_us * health_factor
--- a/membership/pages.py
+++ b/membership/pages.py
@@ -41,7 +41,7 @@
     standing: str  # of this member in the last settled fleet
     settled: int  # members of the last settled fleet
     share_of: float  # relays that a common limit is divided by, according to this member
-    late: int  # local health score: 0 is healthy, each step stretches this member's probe times by one
+    late: int  # local health score: 0 is healthy; probe times are multiplied by the score + 1
     members: list[MemberLine]
 
 
--- a/membership/sampling_pool.py
+++ b/membership/sampling_pool.py
@@ -39,6 +39,7 @@
 
     def sample(self, random: Random, limit: int, *excluded: str) -> list[str]:
         """Up to ``limit`` different names except the ``excluded`` ones, each equally likely."""
+        # Enough are drawn that ``limit`` remain if all the excluded ones are among them.
         present_excluded = {name for name in excluded if name in self._positions}
         positions = random.sample(
             range(len(self._names)), min(limit + len(present_excluded), len(self._names))
