--- a/membership/core.py
+++ b/membership/core.py
@@ -363,8 +363,8 @@
     def _handle_probe_failure(self, probe: Probe) -> None:
         """Suspect the target, or confirm the suspicion.
 
-        Helpers that sent neither an ack nor a nack are a sign that this member itself is slow: each one
-        worsens its local health by a step. Without helpers the failure itself counts as one.
+        A helper that did not even send a nack is a sign that this member itself is slow: each one worsens its
+        local health by a step. If no helper was asked, the failure itself counts as one step.
         """
         self._adjust_local_health(probe.expected_nacks - probe.received_nacks if probe.expected_nacks else 1)
         record = self.members.get(probe.target_name)
