--- a/fleetlab/scale/directory.py
+++ b/fleetlab/scale/directory.py
@@ -102,7 +102,7 @@
         """Carry out one order."""
         match order:
             case SetHealth():
-                self._change(self._entries[order.number], order.health)
+                self._set_health(self._entries[order.number], order.health)
             case TakeDown():
                 self._is_up = False
                 self._break_watches()
@@ -117,7 +117,7 @@
         self._counts.processor_seconds = processor_seconds()
         return self._counts
 
-    def _change(self, entry: EndpointEntry, health: str) -> None:
+    def _set_health(self, entry: EndpointEntry, health: str) -> None:
         entry.health = health
         self._version += 1
         self._changes.append((self._version, entry))
--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -25,7 +25,7 @@
 from standins.scripted import Client, World
 from tools.cost.reading import taken
 
-PATIENCE_S = 12.0  # s for the list to arrive: four times what a watch waits for its first line
+LIST_TIMEOUT_S = 12.0  # s for the list to arrive: four times what a watch waits for its first line
 POLL_S = 0.02  # s between looks whether all endpoints are known
 FIGURES_POLL_S = 0.1  # s between questions to a relay's process how many it knows
 CLIENT_PING_INTERVAL_S = 0.02  # s between the questions of a client
@@ -100,7 +100,7 @@
     async def wait_until_known(self, size: int) -> float | None:
         """Wait for the whole list; the seconds that it took, None where it did not come within the bound."""
         begun_s = time.monotonic()
-        while (spent_s := time.monotonic() - begun_s) < PATIENCE_S:
+        while (spent_s := time.monotonic() - begun_s) < LIST_TIMEOUT_S:
             if self.engine.entries_taken >= size and self.engine.listed_count == size:
                 return spent_s
             await asyncio.sleep(POLL_S)
@@ -163,11 +163,11 @@
     try:
         client = await world.start_relay()
         ended = asyncio.Event()
-        questions = asyncio.create_task(longest_wait_s(client, ended))
+        questions = asyncio.create_task(measure_longest_wait_s(client, ended))
         begun_s = time.monotonic()
         directory.request(BringUp(resumes=True))
         known = 0
-        while (spent_s := time.monotonic() - begun_s) < PATIENCE_S and known != size:
+        while (spent_s := time.monotonic() - begun_s) < LIST_TIMEOUT_S and known != size:
             await asyncio.sleep(FIGURES_POLL_S)
             known = (await world.read_figures())["endpoints_known"]
         ended.set()
@@ -185,7 +185,7 @@
         await world.stop()
 
 
-async def longest_wait_s(client: Client, ended: asyncio.Event) -> float:
+async def measure_longest_wait_s(client: Client, ended: asyncio.Event) -> float:
     """Ask at an even pace until told to end; the longest wait for an answer."""
     loop, longest_s = asyncio.get_running_loop(), 0.0
     try:
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -47,13 +47,13 @@
 class MeasuredJournal(Journal):
     """The journal as it is, with how often it tried a compaction and the longest one."""
 
-    compactions, longest_s = 0, 0.0
+    compactions, longest_compaction_s = 0, 0.0
 
     def _compact(self) -> None:
         begun_s = time.perf_counter()
         super()._compact()
         self.compactions += 1
-        self.longest_s = max(self.longest_s, time.perf_counter() - begun_s)
+        self.longest_compaction_s = max(self.longest_compaction_s, time.perf_counter() - begun_s)
 
 
 def required_disk_bytes(messages: list[HeldMessage], record_bytes: int) -> int:
@@ -102,7 +102,7 @@
     restart = replay_in_process(folder, ample_disk_bytes(len(messages)))
     run_churn(journal, Random(seed + 1), churned)
     churn_bytes = journal.written_bytes - record_bytes
-    compactions, longest_s = journal.compactions, journal.longest_s
+    compactions, longest_compaction_s = journal.compactions, journal.longest_compaction_s
     return [
         Reading("journal_bytes", record_bytes),
         Reading("journal_writes", writes),
@@ -113,7 +113,7 @@
         Reading("churn_per_message_bytes", churn_bytes / churned),
         Reading("accept_microseconds", accept_s / len(messages) * MICROSECONDS_PER_S, Source.TIMED),
         Reading("journal_resident_bytes", kept_bytes, Source.TIMED),
-        Reading("compaction_seconds", longest_s, Source.TIMED),
+        Reading("compaction_seconds", longest_compaction_s, Source.TIMED),
         Reading("replay_seconds", restart.journal_seconds, Source.TIMED),
         Reading("take_up_seconds", restart.take_up_seconds, Source.TIMED),
         Reading("restart_seconds", restart.journal_seconds + restart.take_up_seconds, Source.TIMED),
--- a/fleetlab/scale/subjects/replacement.py
+++ b/fleetlab/scale/subjects/replacement.py
@@ -11,7 +11,7 @@
 from fleetlab.scale import endpoints
 from fleetlab.scale.child import ChildProcess
 from fleetlab.scale.directory import Counts, ReadCounts, start_directory
-from fleetlab.scale.list_loading import FIGURES_POLL_S, PATIENCE_S, RelayWorld, longest_wait_s
+from fleetlab.scale.list_loading import FIGURES_POLL_S, LIST_TIMEOUT_S, RelayWorld, measure_longest_wait_s
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 
@@ -36,7 +36,7 @@
         client = await world.start_relay()
         await _wait_until_known(world, size)
         ended = asyncio.Event()
-        questions = asyncio.create_task(longest_wait_s(client, ended))
+        questions = asyncio.create_task(measure_longest_wait_s(client, ended))
         begun_s = time.monotonic()
         await _replace_process(world)
         replaced_s = time.monotonic() - begun_s
@@ -54,10 +54,10 @@
 
 async def _wait_until_known(world: RelayWorld, size: int) -> None:
     """Wait for the whole list; ``ScaleError`` where it does not come within the bound."""
-    by_s = time.monotonic() + PATIENCE_S
+    by_s = time.monotonic() + LIST_TIMEOUT_S
     while (await world.read_figures())["endpoints_known"] != size:
         if time.monotonic() > by_s:
-            raise ScaleError(f"the list of {size} endpoints did not come within {PATIENCE_S:.0f} s")
+            raise ScaleError(f"the list of {size} endpoints did not come within {LIST_TIMEOUT_S:.0f} s")
         await asyncio.sleep(FIGURES_POLL_S)
 
 
--- a/fleetlab/scale/subjects/watchers.py
+++ b/fleetlab/scale/subjects/watchers.py
@@ -29,7 +29,7 @@
 CHANGE_COUNT = 10  # that are told one after the other, of which the figures of a change are the mean
 MISSED_CHANGES = 3  # changes while the directory is down
 DOWN_S = 8.0  # s that the directory is down
-PROCESSES = 6  # of watchers, at most
+MAX_PROCESSES = 6  # of watchers, at most
 POLL_S = 0.02  # s between looks whether all watchers have a version
 REACH_TIMEOUT_S = 30.0  # s for all watchers to have it
 BYTES_PER_WATCHER = 4_000_000  # upper estimate of memory, with a whole list under way
@@ -112,7 +112,7 @@
         port = directory.request(ReadCounts()).port
         watching = [
             stack.enter_context(start_watchers(port, count, 0 if whole else listed))
-            for count in split_evenly(size, min(size, PROCESSES))
+            for count in split_evenly(size, min(size, MAX_PROCESSES))
         ]
         fleet = WatcherFleet(directory, watching, size, listed)
         fleet.wait_until_reached()
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -88,7 +88,7 @@
 
 
 def test_a_list_that_never_comes_ends_as_known_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(list_loading, "PATIENCE_S", 0.3)
+    monkeypatch.setattr(list_loading, "LIST_TIMEOUT_S", 0.3)
     taken_in = load_into_driver(40, SEED, DeafDriver)
     assert taken_in.seconds is None
     readings = {reading.figure: reading.value for reading in driver_readings(taken_in)}
--- a/tests/scale/test_watchers.py
+++ b/tests/scale/test_watchers.py
@@ -24,8 +24,8 @@
 class WholeListDirectory(Directory):
     """Tells the whole list with each change: quadratic in a fleet whose list grows with it."""
 
-    def _change(self, entry: EndpointEntry, health: str) -> None:
-        super()._change(entry, health)
+    def _set_health(self, entry: EndpointEntry, health: str) -> None:
+        super()._set_health(entry, health)
         for writer in self._watches:
             self._write(writer, self._whole_list_line())
 
@@ -75,7 +75,7 @@
 @pytest.fixture(autouse=True)
 def one_process(monkeypatch: pytest.MonkeyPatch) -> None:
     """Few watchers need no more, and each process takes its time to start."""
-    monkeypatch.setattr(watchers, "PROCESSES", 1)
+    monkeypatch.setattr(watchers, "MAX_PROCESSES", 1)
 
 
 @functools.cache
