--- a/fleetlab/scale/__init__.py
+++ b/fleetlab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale measurements: how cost grows with the size of a fleet, by hollow parts and a few real processes."""
+"""Scale measurements: how cost grows with fleet size, with simulated parts and a few real processes."""
--- a/fleetlab/scale/child.py
+++ b/fleetlab/scale/child.py
@@ -1,7 +1,6 @@
-"""A child process that carries out orders: JSON lines on its standard input, each answered by one line.
+"""A child process that executes commands: JSON lines on its standard input, each answered by one line.
 
-Both sides block on nothing else: the parent sends an order and reads its answer, and the child ends with
-its input.
+The parent sends one command at a time and blocks until its answer. The child exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 
 from fleetlab.scale.records import ScaleError
 
-EXIT_TIMEOUT_S = 5.0  # s for the process to end by itself
+EXIT_TIMEOUT_S = 5.0  # s for the child to exit after its input is closed, before it is killed
 Answer = TypeVar("Answer", bound=msgspec.Struct)
 
 
 class ChildProcess(Generic[Answer]):
-    """A child's process as its parent sees it; it ends with the ``with`` block."""
+    """The parent's handle to a child process; leaving the ``with`` block ends the process."""
 
     def __init__(self, module: str, arguments: list[str], answer: type[Answer]) -> None:
         command = [sys.executable, "-m", module, *arguments]
@@ -45,22 +44,22 @@
             self._process.wait()
         self._process.stdout.close()
 
-    def request(self, order: msgspec.Struct) -> Answer:
-        """Have an order carried out; ``ScaleError`` where the child is gone or gives no answer."""
+    def request(self, command: msgspec.Struct) -> Answer:
+        """Execute a command in the child; ``ScaleError`` if the child has exited or its answer is invalid."""
         assert self._process.stdin is not None and self._process.stdout is not None
         try:
-            self._process.stdin.write(msgspec.json.encode(order) + b"\n")
+            self._process.stdin.write(msgspec.json.encode(command) + b"\n")
             self._process.stdin.flush()
             return self._decoder.decode(self._process.stdout.readline())
         except (OSError, msgspec.DecodeError) as error:
-            raise ScaleError(f"{self._module}: no answer: {error}") from None
+            raise ScaleError(f"{self._module}: no valid answer from the child process: {error}") from None
 
 
-async def serve_commands(orders: Any, obey: Callable[[Any], msgspec.Struct]) -> None:
-    """The child's side: carry out each order of these types until the input ends."""
-    decoder = msgspec.json.Decoder(orders)
+async def serve_commands(command_types: Any, execute: Callable[[Any], msgspec.Struct]) -> None:
+    """The child's side: execute each command of these types and print its answer, until the input ends."""
+    decoder = msgspec.json.Decoder(command_types)
     lines = asyncio.StreamReader()
     protocol = asyncio.StreamReaderProtocol(lines)
     await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, sys.stdin)
     while line := await lines.readline():
-        print(msgspec.json.encode(obey(decoder.decode(line))).decode(), flush=True)
+        print(msgspec.json.encode(execute(decoder.decode(line))).decode(), flush=True)
