--- a/fleetlab/scale/command.py
+++ b/fleetlab/scale/command.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab scale``: measure how cost grows with size, fit it, compare with an earlier report."""
+"""``python -m fleetlab scale``: measure how cost grows with size, fit the growth, compare reports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def parse_sizes(text: str | None, subject: Subject) -> tuple[int, ...]:
-    """The sizes named between commas, or the subject's own; ``ScaleError`` where one cannot be used."""
+    """The sizes in a comma-separated text, ascending; the subject's own without a text.
+
+    Raises ``ScaleError`` for anything but whole numbers, and for more than ``MAX_SIZES`` sizes.
+    """
     if text is None:
         return subject.sizes
     try:
@@ -35,9 +38,10 @@
 def measure_sizes(
     subject: Subject, sizes: Sequence[int], seed: int, say: Callable[[str], None]
 ) -> ScaleReport:
-    """Measure each size in turn, in a process of its own.
+    """Measure each size in turn, each in a process of its own.
 
-    A wrong size is refused before anything runs. A size that fails or takes too long is left out and named.
+    All sizes are checked before the first runs (``ScaleError``). A size whose measurement fails or times out
+    is listed in the report's ``left_out`` with the reason.
     """
     machine_bytes = machine.memory_bytes()
     for size in sizes:
@@ -56,7 +60,7 @@
 
 
 def print_report(report: ScaleReport, console: Console) -> None:
-    """Print the readings by size, and the fit of each figure."""
+    """Print the readings by size, the fit of each figure, and the sizes left out."""
     console.print(readings_table(report))
     console.print(fits_table(report))
     for reason in report.left_out:
@@ -76,7 +80,7 @@
 
 
 def fits_table(report: ScaleReport) -> Table:
-    """A row for each figure: how it grows, and what it comes to at the target."""
+    """A row for each figure: how it grows with size, and its value at the target size."""
     table = Table(title="fits")
     table.add_column("figure", no_wrap=True)
     for name in ("slope", "exponent", "error", "at target", "extrapolated by"):
@@ -94,7 +98,7 @@
 
 
 def print_comparison(before: ScaleReport, after: ScaleReport, console: Console) -> None:
-    """Print the readings of two reports side by side, size by size."""
+    """Print the readings of two reports side by side; ``ScaleError`` if their subjects differ."""
     if before.subject != after.subject:
         raise ScaleError(f"--against: a report on {before.subject}, not on {after.subject}")
     earlier = {(s.size, r.figure): r.value for s in before.samples for r in s.readings}
@@ -103,15 +107,15 @@
         table.add_column(name, justify="left" if name == "figure" else "right")
     for sample in after.samples:
         for reading in sample.readings:
-            value = earlier.get((sample.size, reading.figure))
-            ratio = f"{reading.value / value:.3g}" if value else ""
-            was = "" if value is None else f"{value:g}"
-            table.add_row(str(sample.size), reading.figure, was, f"{reading.value:g}", ratio)
+            earlier_value = earlier.get((sample.size, reading.figure))
+            ratio = f"{reading.value / earlier_value:.3g}" if earlier_value else ""
+            earlier_text = "" if earlier_value is None else f"{earlier_value:g}"
+            table.add_row(str(sample.size), reading.figure, earlier_text, f"{reading.value:g}", ratio)
     console.print(table)
 
 
 def load_report(path: Path) -> ScaleReport:
-    """An earlier report; ``ScaleError`` where it cannot be read."""
+    """Read an earlier report; ``ScaleError`` if the file cannot be read or decoded."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=ScaleReport)
     except (OSError, msgspec.DecodeError) as error:
@@ -119,7 +123,7 @@
 
 
 def list_subjects(console: Console) -> None:
-    """Print what can be measured."""
+    """Print each subject with its description, its axis and its default sizes."""
     for subject in SUBJECTS.values():
         sizes = ", ".join(str(size) for size in subject.sizes)
         console.print(f"{subject.name:16} {subject.about}; {subject.axis}: {sizes}", soft_wrap=True)
