--- a/fleetlab/scale/counting_dict.py
+++ b/fleetlab/scale/counting_dict.py
@@ -1,4 +1,4 @@
-"""A dict that counts how many of its items are looked at."""
+"""A dict that counts accesses to its items."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class CountingDict(dict[K, V]):
-    """Behaves as the dict that it copies; ``looks`` is the sum of look-ups, and of items walked over.
+    """A copy of a dict; ``accesses`` is the number of look-ups plus the number of items iterated over.
 
-    A walk counts as a look at every item when it begins, also where it is broken off.
+    An iteration counts all items when it begins, even if it stops early.
     """
 
     def __init__(self, items: Mapping[K, V]) -> None:
@@ -31,12 +31,12 @@
         return super().__contains__(key)
 
     def get(self, key: K, default: Any = None) -> Any:
-        """As in a dict; one look."""
+        """As in a dict; one access."""
         self.accesses += 1
         return super().get(key, default)
 
     def setdefault(self, key: K, default: Any = None) -> Any:
-        """As in a dict; one look."""
+        """As in a dict; one access."""
         self.accesses += 1
         return super().setdefault(key, default)
 
@@ -45,16 +45,16 @@
         return super().__iter__()
 
     def keys(self) -> dict_keys[K, V]:
-        """As in a dict; a look at every item."""
+        """As in a dict; counts every item."""
         self.accesses += len(self)
         return super().keys()
 
     def values(self) -> dict_values[K, V]:
-        """As in a dict; a look at every item."""
+        """As in a dict; counts every item."""
         self.accesses += len(self)
         return super().values()
 
     def items(self) -> dict_items[K, V]:
-        """As in a dict; a look at every item."""
+        """As in a dict; counts every item."""
         self.accesses += len(self)
         return super().items()
