--- a/fleetlab/scale/directory.py
+++ b/fleetlab/scale/directory.py
@@ -1,10 +1,10 @@
-"""A hollow directory in a process of its own: one list, watches on it, and counts of what it wrote.
+"""A simulated directory in a process of its own: one endpoint list, its watches, and counts of bytes written.
 
-``python -m fleetlab.scale.directory SIZE SEED`` listens on loopback and takes orders on its standard input
-(``fleetlab.scale.child``); the answer to each is its counts.
+``python -m fleetlab.scale.directory SIZE SEED`` listens on loopback and reads commands from its standard input
+(``fleetlab.scale.child``). The answer to each command is ``Counts``.
 
-It tells the same lines as ``standins.platform``, each encoded once for all watches. Unlike that stand-in it
-answers a watch by the changes after the version asked for, as the protocol's page allows.
+It writes the same lines as ``standins.platform``, but encodes each line once for all watches. Unlike that
+stand-in, it answers a watch with the changes after the requested version, as the protocol's page allows.
 """
 
 from __future__ import annotations
@@ -28,62 +28,63 @@
 
 
 class SetHealth(msgspec.Struct, frozen=True, tag="change"):
-    """An order: one endpoint has another health now, and all watches are told."""
+    """Set the health of the endpoint at this index of the list, and write the change to all watches."""
 
     number: int
     health: str
 
 
 class TakeDown(msgspec.Struct, frozen=True, tag="down"):
-    """An order: open watches end, and new ones are refused until ``Up``."""
+    """Break the open watches, and refuse new ones with status 503 until ``BringUp``."""
 
 
 class BringUp(msgspec.Struct, frozen=True, tag="up"):
-    """An order: serve watches again; ``resumes``: those that name a version get what changed after it."""
+    """Serve watches again, and answer those that ``HoldAnswers`` held back."""
 
-    resumes: bool
+    resumes: bool  # a watch that names a version gets only the changes after it, not the whole list
 
 
 class HoldAnswers(msgspec.Struct, frozen=True, tag="hold"):
-    """An order: leave new watches without an answer until ``Up``."""
+    """Leave new watches without an answer until ``BringUp``."""
 
 
 class ReadCounts(msgspec.Struct, frozen=True, tag="tell"):
-    """An order: do nothing but tell the counts."""
+    """Only return the counts."""
 
 
 Command = SetHealth | TakeDown | BringUp | HoldAnswers | ReadCounts
 
 
 class Counts(msgspec.Struct):
-    """What the directory did since its start."""
+    """What the directory did since its start; ``port`` is where it listens."""
 
     port: int = 0
-    list_bytes: int = 0  # of the whole list, as one line
-    watches: int = 0  # that were answered
-    open_watches: int = 0  # now
-    lines: int = 0  # of news, written to watches
-    line_bytes: int = 0  # of these lines
-    processor_seconds: float = 0.0  # that the process used
+    list_bytes: int = 0  # of the whole list when the directory started, encoded as one line
+    watches: int = 0  # answered so far
+    open_watches: int = 0  # at present
+    lines: int = 0  # update lines written to watches, heartbeats not counted
+    line_bytes: int = 0  # size of these lines
+    processor_seconds: float = 0.0  # used by the process
 
 
 class Directory:
-    """The list, its versions and the open watches."""
+    """The endpoint list, its version and the open watches."""
 
     def __init__(self, size: int, seed: int) -> None:
         self._entries = endpoints.make_entries(size, Random(seed))
         self._version = size
-        self._changes: list[tuple[int, EndpointEntry]] = []  # version and what changed with it
-        self._cached_list_line: bytes | None = None  # of the present version, once a watch asked for it
+        self._changes: list[tuple[int, EndpointEntry]] = []  # each version and the entry it changed
+        self._cached_list_line: bytes | None = None  # of the present version; None: not encoded yet
         self._watches: set[asyncio.StreamWriter] = set()
-        self._is_up, self._resumes_by_version = True, True
+        self._is_up = True
+        self._resumes_by_version = True
         self._may_answer = asyncio.Event()
         self._may_answer.set()
         self._listener = http.Listener(LOOPBACK, self._serve)
         self._counts = Counts(list_bytes=len(self._whole_list_line()))
 
     async def start(self) -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a free port that the operating system assigns."""
         await self._listener.start()
         self._counts.port = self._listener.port
 
@@ -92,22 +93,22 @@
         self._listener.stop()
 
     async def send_heartbeats(self) -> None:
-        """Keep watches from falling silent, for good."""
+        """Write an empty line to each open watch at the heartbeat interval, until cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             for writer in self._watches:
                 write_chunk(writer, b"\n")
 
-    def execute(self, order: Command) -> Counts:
-        """Carry out one order."""
-        match order:
+    def execute(self, command: Command) -> Counts:
+        """Execute one command; return the counts after it."""
+        match command:
             case SetHealth():
-                self._set_health(self._entries[order.number], order.health)
+                self._set_health(self._entries[command.number], command.health)
             case TakeDown():
                 self._is_up = False
                 self._break_watches()
             case BringUp():
-                self._is_up, self._resumes_by_version = True, order.resumes
+                self._is_up, self._resumes_by_version = True, command.resumes
                 self._may_answer.set()
             case HoldAnswers():
                 self._may_answer.clear()
@@ -145,14 +146,14 @@
             writer.write(http.encode_response(404 if self._is_up else 503))
             return
         await self._may_answer.wait()
-        if reader.at_eof():  # it did not wait
+        if reader.at_eof():  # the watcher closed its connection meanwhile
             return
         writer.write(RESPONSE_HEAD)
         self._write(writer, self._first_line(int(parse_qs(target.query).get("from", ["0"])[0])))
         self._counts.watches += 1
         self._watches.add(writer)
         try:
-            await reader.read()  # until the watcher ends it
+            await reader.read()  # until the watcher closes the connection
         finally:
             self._watches.discard(writer)
 
@@ -163,25 +164,29 @@
         return self._cached_list_line
 
     def _first_line(self, version: int) -> bytes:
-        """What a watch from this version is told first."""
+        """The first line for a watch that asks from this version.
+
+        The whole list, or one line with the entries changed after the version. The list starts at a version
+        equal to its length, so a lower one is unknown here.
+        """
         if not self._resumes_by_version or version < len(self._entries):
             return self._whole_list_line()
-        changed = {entry.host: entry for seq, entry in self._changes if seq > version}
+        changed = {entry.host: entry for at_version, entry in self._changes if at_version > version}
         return endpoints.encode_update(self._version, False, list(changed.values()))
 
 
 def start_directory(size: int, seed: int) -> ChildProcess[Counts]:
-    """A hollow directory of its own process."""
+    """Start a simulated directory in a process of its own."""
     return ChildProcess("fleetlab.scale.directory", [str(size), str(seed)], Counts)
 
 
 async def serve(size: int, seed: int) -> None:
-    """Serve watches and orders until the input ends."""
+    """Serve watches and execute commands until the standard input ends."""
     directory = Directory(size, seed)
     await directory.start()
-    beat = asyncio.create_task(directory.send_heartbeats())
+    heartbeats = asyncio.create_task(directory.send_heartbeats())
     await serve_commands(Command, directory.execute)
-    beat.cancel()
+    heartbeats.cancel()
 
 
 if __name__ == "__main__":
