--- a/fleetlab/scale/fit.py
+++ b/fleetlab/scale/fit.py
@@ -1,4 +1,4 @@
-"""Straight-line fits of readings over sizes, and the exponent of their growth. Pure."""
+"""Straight-line fits of readings over sizes, and the exponent of their growth. No I/O, no state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fit_figures(samples: Sequence[Sample], target: int) -> tuple[Slope, ...]:
-    """A fit for each figure that was read at two sizes or more, in the order of their first reading."""
+    """A fit for each figure with readings at two or more sizes, in the order of the first reading."""
     points: dict[str, list[tuple[int, float]]] = {}
     sources: dict[str, Source] = {}
     for sample in sorted(samples, key=lambda sample: sample.size):
@@ -19,14 +19,17 @@
             points.setdefault(reading.figure, []).append((sample.size, reading.value))
             sources[reading.figure] = reading.source
     return tuple(
-        fit_line(figure, sources[figure], some, target)
-        for figure, some in points.items()
-        if len({size for size, _ in some}) > 1
+        fit_line(figure, sources[figure], figure_points, target)
+        for figure, figure_points in points.items()
+        if len({size for size, _ in figure_points}) > 1
     )
 
 
 def fit_line(figure: str, source: Source, points: Sequence[tuple[int, float]], target: int) -> Slope:
-    """The line with the least squared error through the points, and what it gives at the target."""
+    """The least-squares line through the points, and the value at the target size.
+
+    Where the target was measured, the mean of its readings is used in place of the line's value.
+    """
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points], dtype=float)
     slope, intercept = (float(part) for part in np.polyfit(sizes, values, 1))
@@ -48,9 +51,10 @@
 
 
 def growth_exponent(points: Sequence[tuple[int, float]]) -> float:
-    """The power of size by which a figure grows, over the upper half of the sizes; 0 if never above 0.
+    """The exponent p for which the figure grows as ``size ** p``, fitted over the upper half of the sizes.
 
-    Constant costs hide growth at small sizes, so only the upper half tells what comes beyond them.
+    Constant costs hide growth at small sizes, so only the upper half predicts larger ones. 0 if fewer than
+    two sizes have a value above 0.
     """
     positive = [(math.log(size), math.log(value)) for size, value in points if value > 0]
     upper = positive[-max(2, (len(positive) + 1) // 2) :]
