--- a/fleetlab/scale/directory.py
+++ b/fleetlab/scale/directory.py
@@ -1,6 +1,6 @@
 """A simulated directory in a process of its own: one endpoint list, its watches, and counts of bytes written.
 
-``python -m fleetlab.scale.directory SIZE SEED`` listens on loopback and reads commands from its standard input
+``python -m fleetlab.scale.directory SIZE SEED`` listens on loopback and reads commands from standard input
 (``fleetlab.scale.child``). The answer to each command is ``Counts``.
 
 It writes the same lines as ``standins.platform``, but encodes each line once for all watches. Unlike that
