--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -1,7 +1,7 @@
-"""The whole endpoint list on its way into one relay: the real ``Driver`` here, and the real process.
+"""Measures how a relay loads the whole endpoint list: its real ``Driver`` in this process, or its real process.
 
-The list comes over loopback from a hollow directory in a process of its own. Both end after a bound, also
-where the list never arrives.
+The list comes over loopback from a simulated directory in a process of its own. Both measurements end after
+``LIST_TIMEOUT_S`` if the list does not arrive.
 """
 
 from __future__ import annotations
@@ -25,40 +25,40 @@
 from standins.scripted import Client, World
 from tools.cost.reading import taken
 
-LIST_TIMEOUT_S = 12.0  # s for the list to arrive: four times what a watch waits for its first line
-POLL_S = 0.02  # s between looks whether all endpoints are known
-FIGURES_POLL_S = 0.1  # s between questions to a relay's process how many it knows
-CLIENT_PING_INTERVAL_S = 0.02  # s between the questions of a client
-GROUP_SIZE = 600  # relays of the fleet
+LIST_TIMEOUT_S = 12.0  # for the list to arrive: four times what a watch waits for its first line
+POLL_S = 0.02  # between checks whether the driver knows all endpoints
+FIGURES_POLL_S = 0.1  # between requests to a relay's process for the number of endpoints it knows
+CLIENT_PING_INTERVAL_S = 0.02  # from an answer to the client's next ``PING``
+GROUP_SIZE = 600  # relays in the fleet
 KIB = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class DriverLoad:
-    """How a relay's event loop took in the list."""
+    """How a relay's driver loaded the list."""
 
-    known: int  # endpoints known to the module at the end
-    seconds: float | None  # until all were known; None: never
-    entries_handed: int  # to the module, in all steps
-    max_entries_in_one_step: int  # of the module
-    longest_iteration_s: float  # of the event loop
-    resident_bytes: int  # grown meanwhile
+    known: int  # endpoints known to the decision module at the end
+    seconds: float | None  # until all endpoints were known; None if they were not in time
+    entries_handed: int  # entries given to the decision module, over all steps
+    max_entries_in_one_step: int  # most entries given to it in a single step
+    longest_iteration_s: float  # longest iteration of the event loop
+    resident_bytes: int  # growth of resident memory meanwhile
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLoad:
-    """How a relay's process took in the list, as a client saw it."""
+    """How a relay's process loaded the list, and how long a client waited meanwhile."""
 
-    known: int
-    seconds: float | None  # since the directory answered; None: never
-    longest_wait_s: float  # of a client for its answer
-    resident_bytes: int  # of the whole process at the end
+    known: int  # endpoints known at the end
+    seconds: float | None  # since the directory answered, until all were known; None if not in time
+    longest_wait_s: float  # longest wait of the client for an answer
+    resident_bytes: int  # resident memory of the process at the end
     peak_resident_bytes: int
-    written_bytes: int  # lines of news that the directory wrote for it
+    written_bytes: int  # size of the update lines that the directory wrote
 
 
 class RelayWorld(World):
-    """A relay's surroundings beside a directory that another process serves."""
+    """The environment of a relay process, with a directory that another process serves."""
 
     def __init__(self, folder: Path, directory_port: int) -> None:
         super().__init__(folder)
@@ -67,18 +67,18 @@
         self.admin_port = self.free_port()
 
     async def start(self) -> None:
-        """Make the relay's folder; the directory serves already."""
+        """Create the relay's state folder; the directory is already running."""
         self.state_folder.mkdir()
 
 
 class CountingEngine(DecisionEngine):
-    """The module, with the entries of the list that each step brought."""
+    """The decision engine, with counts of the endpoint list entries given to it."""
 
     entries_taken = 0
     max_entries_in_one_step = 0
 
     def step(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Count, then take the step."""
+        """Count the entries in the events, then execute the step."""
         batch = list(events)
         entries = sum(len(getattr(event, "entries", ())) for event in batch)
         self.entries_taken += entries
@@ -87,7 +87,7 @@
 
 
 class CountingDriver(Driver):
-    """The relay's loop of steps around a module that counts."""
+    """The relay's driver with a decision engine that counts entries."""
 
     def __init__(self, config: Config, journal: Journal) -> None:
         super().__init__(config, journal, self._raise_error)
@@ -98,7 +98,7 @@
         raise error
 
     async def wait_until_known(self, size: int) -> float | None:
-        """Wait for the whole list; the seconds that it took, None where it did not come within the bound."""
+        """Wait for the whole list; the seconds it took, or None after ``LIST_TIMEOUT_S``."""
         begun_s = time.monotonic()
         while (spent_s := time.monotonic() - begun_s) < LIST_TIMEOUT_S:
             if self.engine.entries_taken >= size and self.engine.listed_count == size:
@@ -108,22 +108,22 @@
 
 
 def load_into_driver(size: int, seed: int, driver_type: type[CountingDriver] = CountingDriver) -> DriverLoad:
-    """Have the real driver fetch the list from a hollow directory, in a loop whose turns are timed."""
-    turns = LoopTimingSelector()
+    """Have the real driver load the list from a simulated directory, in an event loop with timed iterations."""
+    selector = LoopTimingSelector()
     with (
         start_directory(size, seed) as directory,
         tempfile.TemporaryDirectory(prefix="scale-") as folder,
-        asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner,
+        asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner,
     ):
         return runner.run(
             _measure_driver(
-                RelayWorld(Path(folder), directory.request(ReadCounts()).port), size, turns, driver_type
+                RelayWorld(Path(folder), directory.request(ReadCounts()).port), size, selector, driver_type
             )
         )
 
 
 async def _measure_driver(
-    world: RelayWorld, size: int, turns: LoopTimingSelector, driver_type: type[CountingDriver]
+    world: RelayWorld, size: int, selector: LoopTimingSelector, driver_type: type[CountingDriver]
 ) -> DriverLoad:
     await world.start()
     config = load(world.environment())
@@ -131,7 +131,7 @@
     driver = driver_type(config, journal)
     try:
         before_bytes = resident_bytes()
-        turns.reset()
+        selector.reset()
         driver.start()
         seconds = await driver.wait_until_known(size)
         return DriverLoad(
@@ -139,7 +139,7 @@
             seconds=seconds,
             entries_handed=driver.engine.entries_taken,
             max_entries_in_one_step=driver.engine.max_entries_in_one_step,
-            longest_iteration_s=turns.longest_iteration_s,
+            longest_iteration_s=selector.longest_iteration_s,
             resident_bytes=resident_bytes() - before_bytes,
         )
     finally:
@@ -148,7 +148,7 @@
 
 
 def load_into_process(size: int, seed: int) -> ProcessLoad:
-    """Start a real relay beside a hollow directory, and ask it as a client all the while."""
+    """Start a real relay process with a simulated directory, while a client sends ``PING`` to it."""
     with (
         start_directory(size, seed) as directory,
         tempfile.TemporaryDirectory(prefix="scale-") as folder,
@@ -158,12 +158,12 @@
 
 async def _measure_process(folder: Path, directory: ChildProcess[Counts], size: int) -> ProcessLoad:
     world = RelayWorld(folder, directory.request(ReadCounts()).port)
-    directory.request(HoldAnswers())  # the list is to come only once the client asks
+    directory.request(HoldAnswers())  # the list must not arrive before the client sends its first PING
     await world.start()
     try:
         client = await world.start_relay()
         ended = asyncio.Event()
-        questions = asyncio.create_task(measure_longest_wait_s(client, ended))
+        longest_wait = asyncio.create_task(measure_longest_wait_s(client, ended))
         begun_s = time.monotonic()
         directory.request(BringUp(resumes=True))
         known = 0
@@ -172,13 +172,13 @@
             known = (await world.read_figures())["endpoints_known"]
         ended.set()
         assert world.process is not None
-        used = taken(world.process.pid)
+        usage = taken(world.process.pid)
         return ProcessLoad(
             known=known,
             seconds=spent_s if known == size else None,
-            longest_wait_s=await questions,
-            resident_bytes=used.memory_kb * KIB,
-            peak_resident_bytes=used.peak_memory_kb * KIB,
+            longest_wait_s=await longest_wait,
+            resident_bytes=usage.memory_kb * KIB,
+            peak_resident_bytes=usage.peak_memory_kb * KIB,
             written_bytes=directory.request(ReadCounts()).line_bytes,
         )
     finally:
@@ -186,13 +186,13 @@
 
 
 async def measure_longest_wait_s(client: Client, ended: asyncio.Event) -> float:
-    """Ask at an even pace until told to end; the longest wait for an answer."""
+    """Send ``PING`` at a steady pace until ``ended`` is set, then close; the longest wait for an answer, in s."""
     loop, longest_s = asyncio.get_running_loop(), 0.0
     try:
         while not ended.is_set():
-            asked_s = loop.time()
+            sent_s = loop.time()
             await client.command(b"PING")
-            longest_s = max(longest_s, loop.time() - asked_s)
+            longest_s = max(longest_s, loop.time() - sent_s)
             await asyncio.sleep(CLIENT_PING_INTERVAL_S)
     finally:
         client.writer.close()
