--- a/fleetlab/scale/plot.py
+++ b/fleetlab/scale/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a report: each figure over size, on logarithmic axes, with its fit."""
+"""Plots a report: each figure over size, on logarithmic axes, with its fit."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 from fleetlab.scale.records import ScaleReport, Slope
 
 COLUMNS = 3
-WIDTH_INCHES, HEIGHT_INCHES = 4.2, 3.2
-POINTS_PER_FIT = 60  # of a fit: a straight line is curved on logarithmic axes
+WIDTH_INCHES = 4.2  # of one plot
+HEIGHT_INCHES = 3.2  # of one plot
+# Points that a fit is drawn with: a straight line with an intercept is curved on logarithmic axes.
+POINTS_PER_FIT = 60
 
 
 def write_plot(report: ScaleReport, path: Path) -> None:
-    """One small plot for each figure; the dashed line marks the target."""
+    """Write an image with one plot for each figure; a dashed line marks the target size."""
     mpl.use("Agg")
     rows = max(1, -(-len(report.slopes) // COLUMNS))
     figure = Figure(figsize=(COLUMNS * WIDTH_INCHES, rows * HEIGHT_INCHES), layout="constrained")
