--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -1,4 +1,4 @@
-"""What the process that measures has used so far."""
+"""Memory and processor time of the measuring process, and its garbage collector."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 
 def resident_bytes() -> int:
-    """Memory that this process holds now, by the system's accounting."""
+    """Resident memory of this process, as the kernel counts it."""
     return read_memory_bytes(OWN_PROC_FOLDER)["VmRSS"]
 
 
 def processor_seconds() -> float:
-    """Processor time that this process used, in user and system mode."""
+    """Processor time that this process has used so far, user and system, in seconds."""
     return time.process_time()
 
 
 def exclude_objects_from_gc() -> None:
-    """Spare what there is now from collections of garbage.
+    """Exclude all present objects from garbage collection.
 
-    Many hollow parts stand in one process; a process of one part would not look through all others' objects.
+    One process holds many simulated parts; a real process of a single part would not traverse the objects of
+    all the others in its collections.
     """
     gc.freeze()
