--- a/fleetlab/scale/programs.py
+++ b/fleetlab/scale/programs.py
@@ -1,4 +1,4 @@
-"""Real processes of the service on loopback, and what each has used, by the system's accounting."""
+"""Real service processes on loopback, and the processor time and memory that each has used."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-HTTP_TIMEOUT_S = 5.0
+HTTP_TIMEOUT_S = 5.0  # for a page of a process
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def random_loopback_prefix() -> str:
-    """The first three numbers of an address range on loopback that is drawn, so that two runs do not meet."""
+    """The first three numbers of a loopback address range, drawn at random so that two runs do not collide."""
     return ".".join(["127", *(str(secrets.randbelow(250) + 2) for _ in range(2))])
 
 
 class Programs:
-    """Processes of one measurement; leaving the context ends all that it started."""
+    """The processes of one measurement; leaving the context kills all that it started."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -36,7 +36,7 @@
             await process.wait()
 
     async def start(self, name: str, module: str, config: str) -> int:
-        """A module with a configuration file; the process's id."""
+        """Start a module with this text as its configuration file; return the process id."""
         path = self._folder / f"{name}.toml"
         path.write_text(config, encoding="utf-8")
         with (self._folder / f"{name}.log").open("wb") as log:
@@ -47,24 +47,27 @@
         return process.pid
 
 
-def processor_seconds_of(processes: Sequence[int]) -> float:
-    """Processor time of some processes so far, in user and system mode, in seconds."""
-    return sum(_processor_ticks(number) for number in processes) / TICKS_PER_S
+def processor_seconds_of(process_ids: Sequence[int]) -> float:
+    """Processor time that these process ids have used so far, user and system, in seconds."""
+    return sum(_processor_ticks(process_id) for process_id in process_ids) / TICKS_PER_S
 
 
-def _processor_ticks(number: int) -> int:
-    fields = Path(f"/proc/{number}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
+def _processor_ticks(process_id: int) -> int:
+    fields = Path(f"/proc/{process_id}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     return int(fields[11]) + int(fields[12])
 
 
-def resident_bytes_of(number: int) -> int:
-    """Memory that a process holds now."""
-    pages = int(Path(f"/proc/{number}/statm").read_text(encoding="ascii").split()[1])
+def resident_bytes_of(process_id: int) -> int:
+    """Resident memory of a process."""
+    pages = int(Path(f"/proc/{process_id}/statm").read_text(encoding="ascii").split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 async def fetch_page(host: str, port: int, path: str) -> bytes:
-    """A page of an operators' address; ``OSError`` or ``TimeoutError`` where there is none."""
+    """The body of a page at an operators' address.
+
+    Raises ``OSError`` or ``TimeoutError`` if the process does not answer.
+    """
     async with asyncio.timeout(HTTP_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(host, port)
         try:
@@ -75,7 +78,7 @@
 
 
 async def fetch_metrics(host: str, port: int) -> dict[str, float]:
-    """The figures of ``/metrics``, by name with labels; empty where nobody answers yet."""
+    """The values of ``/metrics`` by name with labels; empty if the process does not answer yet."""
     try:
         text = (await fetch_page(host, port, "/metrics")).decode()
     except (OSError, TimeoutError):
