--- a/fleetlab/scale/records.py
+++ b/fleetlab/scale/records.py
@@ -1,4 +1,4 @@
-"""Typed records of the scale measurements; each can be written as JSON."""
+"""Records of the scale measurements; each can be encoded as JSON under its field names."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class ScaleError(Exception):
-    """Wrong use, or a measurement that did not end; its text is one line for the user."""
+    """Wrong usage or a failed measurement; its text is one line for the user."""
 
 
 class Source(Enum):
-    """Where a reading comes from."""
+    """Whether a reading can be reproduced."""
 
-    COUNT = "count"  # the same in every run with this seed, on any machine
-    TIMED = "timed"  # measured on this machine
+    COUNT = "count"  # the same in every run with the same seed, on any machine
+    TIMED = "timed"  # depends on the machine and its load
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """One figure at one size."""
+    """The value of one figure at one size."""
 
     figure: str  # its name, with the unit as its last word, e.g. ``whole_list_bytes``
     value: float
@@ -32,7 +32,7 @@
     subject: str
     size: int
     seed: int
-    seconds: float  # of real time that the measurement took
+    seconds: float  # real time that the measurement took
     readings: tuple[Reading, ...]
 
 
@@ -42,17 +42,17 @@
     figure: str
     source: Source
     sizes: tuple[int, ...]
-    slope: float  # a unit of the axis
+    slope: float  # growth of the value for each unit of size
     intercept: float
-    exponent: float  # of size, fitted over the upper half of the sizes: 1 is linear, 2 quadratic
+    exponent: float  # of growth, over the upper half of the sizes: 1 is linear, 2 quadratic
     error: float  # the largest deviation of a reading from the fit, as a share of the largest reading
-    target: int  # the size of interest
-    at_target: float  # measured there, or by the fit
-    extrapolated_by: float  # target over the largest size measured; 1 where it was measured
+    target: int  # the size that the design has to support
+    at_target: float  # value at the target, measured or from the fit
+    extrapolated_by: float  # target divided by the largest size measured; 1 if the target was measured
 
 
 class ScaleReport(msgspec.Struct, frozen=True):
-    """What one run of the command found out about one subject."""
+    """The result of one run of the command for one subject."""
 
     subject: str
     about: str
