--- a/fleetlab/scale/registry.py
+++ b/fleetlab/scale/registry.py
@@ -1,4 +1,4 @@
-"""All subjects of measurement, by name."""
+"""All subjects of the scale measurements, by name."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def find_subject(name: str) -> Subject:
-    """The subject; ``ScaleError`` where there is none of that name."""
+    """The subject of this name; ``ScaleError`` if there is none."""
     if (subject := SUBJECTS.get(name)) is None:
         raise ScaleError(f"no subject is called {name!r}; there are {', '.join(SUBJECTS)}")
     return subject
