--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab.scale.replay FOLDER DISK_BYTES``: a start over a journal, in its own process."""
+"""``python -m fleetlab.scale.replay FOLDER DISK_BYTES``: start a relay from a journal, and measure it."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 from relay.journal import Journal
 from relay.resource_usage import read_memory_bytes
 
-UNUSED_ADDRESS = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
-SPARE_MESSAGES = 1_000_000  # messages more than recovered, which a relay may hold
-TIMEOUT_S = 110.0
+# No connection is opened, because the event loop gets no iteration after the start.
+UNUSED_ADDRESS = ("127.0.0.1", 9)
+SPARE_MESSAGES = 1_000_000  # messages that the relay may hold beyond the recovered ones
+TIMEOUT_S = 110.0  # for the process that replays
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """What a start over a journal took."""
+    """What it took to start a relay from a journal."""
 
-    recovered: int  # messages in the journal
+    recovered: int  # messages read from the journal
     held: int  # messages that the relay holds after its start
     journal_seconds: float  # to read the journal
-    take_up_seconds: float  # to give its messages to the relay and the module, in one turn of the loop
-    before_bytes: int  # resident, before the journal was opened
-    peak_bytes: int  # the most that was resident, until the journal was read
-    after_bytes: int  # resident, with all taken up
+    take_up_seconds: float  # for the driver to restore the messages, in one iteration of the event loop
+    before_bytes: int  # resident memory before the journal was opened
+    peak_bytes: int  # peak resident memory until the journal was read
+    after_bytes: int  # resident memory with all messages restored
 
 
 def make_config(folder: Path, disk_bytes: int, messages: int) -> Config:
-    """A relay that may hold them all, with no endpoint listed."""
+    """Configuration of a relay that may hold all these messages, with an empty endpoint list."""
     return Config(
         name="relay",
         listen=UNUSED_ADDRESS,
@@ -54,7 +55,7 @@
 
 
 async def measure_replay(folder: Path, disk_bytes: int) -> Replay:
-    """Start the relay's own parts; they are closed before the loop turns, so nobody is called."""
+    """Start a journal and a driver, and close them before the event loop can make a call."""
     before_bytes, begun_s = resident_bytes(), time.monotonic()
     journal = Journal(folder, disk_bytes)
     journal_s = time.monotonic() - begun_s
@@ -62,10 +63,10 @@
     driver = Driver(make_config(folder, disk_bytes, recovered), journal, _raise_error)
     begun_s = time.monotonic()
     driver.start()
-    take_up_s = time.monotonic() - begun_s
+    restore_s = time.monotonic() - begun_s
     held, after_bytes = driver.stats.in_flight, resident_bytes()
     driver.close()
-    return Replay(recovered, held, journal_s, take_up_s, before_bytes, peak_bytes, after_bytes)
+    return Replay(recovered, held, journal_s, restore_s, before_bytes, peak_bytes, after_bytes)
 
 
 def _raise_error(error: BaseException) -> None:
@@ -73,7 +74,10 @@
 
 
 def replay_in_process(folder: Path, disk_bytes: int) -> Replay:
-    """The same in a fresh process, whose memory is its own; ``ScaleError`` where it fails."""
+    """``measure_replay`` in a new process, so that its memory is not mixed with this one's.
+
+    Raises ``ScaleError`` if the process fails or exceeds ``TIMEOUT_S``.
+    """
     command = [sys.executable, "-m", "fleetlab.scale.replay", str(folder), str(disk_bytes)]
     try:
         done = subprocess.run(command, capture_output=True, timeout=TIMEOUT_S, check=True)
