--- a/fleetlab/scale/simulated_load.py
+++ b/fleetlab/scale/simulated_load.py
@@ -1,4 +1,4 @@
-"""What a simulated fleet sends and uses over some simulated time, a member and second."""
+"""What a simulated fleet sends and uses in simulated time, for each member and second."""
 
 from __future__ import annotations
 
@@ -11,24 +11,30 @@
 
 
 class LoadCounter:
-    """Counts from its creation on."""
+    """Counts what the fleet does from the creation of this object on."""
 
     def __init__(self, sim: SettledSim) -> None:
         self._sim = sim
         self._begun_us, self._begun_processor_s = sim.world.now_us, processor_seconds()
-        self._sent, self._bytes, self._updates = sim.sent.copy(), sim.bytes.copy(), dict(sim.updates)
+        self._sent = sim.sent.copy()
+        self._bytes = sim.bytes.copy()
+        self._updates = dict(sim.updates)
         self._bytes_by_member = sim.bytes_by.copy()
-        self._changes, self._suspicion_checks = sim.changes, self._count_suspicion_checks()
+        self._changes = sim.changes
+        self._suspicion_checks = self._count_suspicion_checks()
 
     def _count_suspicion_checks(self) -> int:
         return sum(core.suspicions_looked_at for core in self._sim.cores())
 
     def _max_member_bytes(self) -> int:
-        """Sent by the member that sent most."""
+        """Bytes sent by the member that sent most."""
         return max((self._sim.bytes_by - self._bytes_by_member).values(), default=0)
 
     def readings(self, phase: str) -> list[Reading]:
-        """Each figure begins with the phase; ``member_second`` means: a member that is up, and second."""
+        """The figures so far, each named after the phase.
+
+        ``member_second`` in a name means: divided by the members that are up and by the seconds.
+        """
         sim = self._sim
         seconds = (sim.world.now_us - self._begun_us) / SECOND_US
         member_seconds = len(sim.cores()) * seconds
