--- a/fleetlab/scale/simulated_module.py
+++ b/fleetlab/scale/simulated_module.py
@@ -1,4 +1,4 @@
-"""The real decision module in simulated time, without sockets: calls end by a rule, and steps are timed."""
+"""The real decision module in simulated time, without sockets: simulated calls, and timed steps."""
 
 from __future__ import annotations
 
@@ -35,14 +35,15 @@
 from fleetlab.scale.process import processor_seconds
 from relay.driver import HeldMessage
 
-STEP_INTERVAL_US = 20_000  # between steps while nothing is looked at
-SERVED_CALL_US, REFUSED_CALL_US = 20_000, 1_000  # until a call is answered, or its connection is refused
+STEP_INTERVAL_US = 20_000  # between steps, except where single events are timed
+SERVED_CALL_US = 20_000  # duration of a call that is answered
+REFUSED_CALL_US = 1_000  # duration of a call whose connection is refused
 
 
 class TimedEngine(DecisionEngine):
-    """The module as it is, with the processor seconds of its work for every held message."""
+    """The unchanged engine, with the processor time of its two periodic passes over all held messages."""
 
-    report_s = forget_s = 0.0  # of the latest one
+    report_s = forget_s = 0.0  # of the latest pass of each kind
 
     def _log_held(self) -> None:
         begun_s = processor_seconds()
@@ -56,7 +57,7 @@
 
 
 class SimulatedModule:
-    """One relay's module, the messages that it holds, and endpoints that answer or refuse at once."""
+    """The decision engine of one relay, the messages it holds, and endpoints that answer or refuse."""
 
     def __init__(
         self, held: dict[str, HeldMessage], hold_cap: int, seed: int, destinations: int = DESTINATION_COUNT
@@ -64,24 +65,24 @@
         self.engine, self.held = TimedEngine(make_settings(hold_cap), seed), held
         self.now_us, self.delivered = START_US, 0
         self.down = {host_name(number) for number in range(DOWN_COUNT)}
-        self._pending_outcomes: list[tuple[int, int, Outcome]] = []  # heap: what calls will end in
+        self._pending_outcomes: list[tuple[int, int, Outcome]] = []  # heap: time, call, outcome
         self._call_count = 0
         self.step([EndpointUpdate(EndpointUpdateKind.WHOLE, make_entries(destinations))])
 
     @property
     def next_outcome_us(self) -> int:
-        """When the next call ends; now where none is out."""
+        """When the next open call ends; the present time if no call is open."""
         return self._pending_outcomes[0][0] if self._pending_outcomes else self.now_us
 
     def arrival(self, held: HeldMessage) -> Arrival:
-        """Take a message on."""
-        handed = held.message
-        self.held[handed.id] = held
-        left_us = handed.deadline_us - self.now_us
-        return Arrival(handed.id, handed.dest, handed.cls, left_us, handed.tenant, handed.order)
+        """Hold a message; return the event that reports its arrival to the engine."""
+        message = held.message
+        self.held[message.id] = held
+        left_us = message.deadline_us - self.now_us
+        return Arrival(message.id, message.dest, message.cls, left_us, message.tenant, message.order)
 
     def take_due_events(self) -> list[Event]:
-        """What calls have ended in by now."""
+        """The outcomes of the calls that have ended by now; a delivered message is no longer held."""
         events: list[Event] = []
         while self._pending_outcomes and self._pending_outcomes[0][0] <= self.now_us:
             outcome = heapq.heappop(self._pending_outcomes)[2]
@@ -93,7 +94,7 @@
         return events
 
     def step(self, events: Sequence[Event]) -> float:
-        """One step, and the processor seconds that it took."""
+        """Execute one step of the engine; return the processor seconds it took."""
         begun_s = processor_seconds()
         actions = self.engine.step(self.now_us, events)
         seconds = processor_seconds() - begun_s
@@ -101,17 +102,17 @@
         return seconds
 
     def advance(self, by_us: int, events: Sequence[Event] = ()) -> float:
-        """Let time pass, then one step with what came meanwhile; its seconds."""
+        """Let time pass, then execute a step with the outcomes due and these events; its processor seconds."""
         self.now_us += by_us
         return self.step([*self.take_due_events(), *events, TimerDue()])
 
     def advance_to_status(self) -> None:
-        """Let time pass until the next step is one that reports and forgets."""
+        """Let time pass until the next step is one with the periodic report and clean-up."""
         while self.now_us + STEP_INTERVAL_US < self.engine.next_status_us:
             self.advance(STEP_INTERVAL_US)
 
     def leave_room_for_one(self) -> None:
-        """From now on the relay may hold one message more than it does: the next one is the last."""
+        """Set the hold cap so that the relay can accept exactly one more message."""
         self.engine.settings = replace(self.engine.settings, hold_cap=self.engine.open_messages + 1)
 
     def _execute(self, actions: Sequence[Action]) -> None:
@@ -133,7 +134,10 @@
 
 
 def count_executed_lines(work: Callable[[], Any]) -> int:
-    """Lines of Python that the work runs, each turn of a loop anew: a measure of work that is no time."""
+    """Lines of Python that ``work`` executes, each as often as it runs.
+
+    This measures work without a clock, so it does not depend on the machine.
+    """
     count = 0
 
     def trace(_frame: FrameType, event: str, _argument: Any) -> Any:
