--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -1,4 +1,4 @@
-"""Measures how a relay loads the whole endpoint list: its real ``Driver`` in this process, or its real process.
+"""Measures how a relay loads the whole endpoint list: its ``Driver`` in this process, or a relay process.
 
 The list comes over loopback from a simulated directory in a process of its own. Both measurements end after
 ``LIST_TIMEOUT_S`` if the list does not arrive.
@@ -108,7 +108,7 @@
 
 
 def load_into_driver(size: int, seed: int, driver_type: type[CountingDriver] = CountingDriver) -> DriverLoad:
-    """Have the real driver load the list from a simulated directory, in an event loop with timed iterations."""
+    """Load the list into the real driver from a simulated directory, in an event loop with timed iterations."""
     selector = LoopTimingSelector()
     with (
         start_directory(size, seed) as directory,
@@ -186,7 +186,7 @@
 
 
 async def measure_longest_wait_s(client: Client, ended: asyncio.Event) -> float:
-    """Send ``PING`` at a steady pace until ``ended`` is set, then close; the longest wait for an answer, in s."""
+    """Send ``PING`` at a steady pace until ``ended`` is set; the longest wait for an answer, in seconds."""
     loop, longest_s = asyncio.get_running_loop(), 0.0
     try:
         while not ended.is_set():
--- a/fleetlab/scale/programs.py
+++ b/fleetlab/scale/programs.py
@@ -14,7 +14,7 @@
 
 
 def random_loopback_prefix() -> str:
-    """The first three numbers of a loopback address range, drawn at random so that two runs do not collide."""
+    """The first three numbers of a loopback address range, random so that two runs do not collide."""
     return ".".join(["127", *(str(secrets.randbelow(250) + 2) for _ in range(2))])
 
 
--- a/fleetlab/scale/simulated_module.py
+++ b/fleetlab/scale/simulated_module.py
@@ -102,7 +102,7 @@
         return seconds
 
     def advance(self, by_us: int, events: Sequence[Event] = ()) -> float:
-        """Let time pass, then execute a step with the outcomes due and these events; its processor seconds."""
+        """Let time pass, then execute a step with the due outcomes and ``events``; its processor seconds."""
         self.now_us += by_us
         return self.step([*self.take_due_events(), *events, TimerDue()])
 
