--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -1,6 +1,6 @@
-"""Hollow relays in simulated time: the real decision module, with simulated destinations in place of sockets.
+"""Simulated relays: the real decision engine in simulated time, with simulated destinations, without sockets.
 
-As in the service, a relay's events are collected and put before the module once a round.
+As in the service, a relay's events are collected and given to the engine once a round.
 """
 
 from __future__ import annotations
@@ -38,17 +38,20 @@
 from fleetlab.scale.process import processor_seconds
 
 SECOND_US = 1_000_000
-CONNECT_FAILURE_US, REFUSAL_US = 20_000, 30_000  # us that a failed connection and a refusal take
-MEDIAN_LATENCY_US = 180_000  # us of answers: the median; 204 ms on average
-LATENCY_LOG_DEVIATION = 0.5  # of answers: the deviation of the logarithm
+CONNECT_FAILURE_US = 20_000  # duration of a call whose connection fails
+REFUSAL_US = 30_000  # duration of a call that is refused
+# Calls that are served have a log-normal duration with this median; the mean is 204 ms.
+MEDIAN_LATENCY_US = 180_000
+LATENCY_LOG_DEVIATION = 0.5  # standard deviation of the duration's logarithm
 STATUS = MessageClass("status", Effect.SAFE, 1_500_000, 6_000_000)
 ORDER = MessageClass("order", Effect.KEYED, 3_000_000, 16_000_000, 2.0, 0.5, key_window_us=15_000_000)
 PAYMENT = MessageClass("payment", Effect.UNSAFE, 2_000_000, 28_000_000, 4.0, 0.3)
-MESSAGE_CLASSES, CLASS_WEIGHTS = (STATUS, ORDER, PAYMENT), (6, 3, 1)  # and in which parts messages come
+MESSAGE_CLASSES = (STATUS, ORDER, PAYMENT)
+CLASS_WEIGHTS = (6, 3, 1)  # relative frequency of each class among the messages
 
 
 class Fault(Enum):
-    """How a destination that is down fails calls."""
+    """How calls to a destination that is down fail."""
 
     CONNECT_FAILS = "connect_fails"
     HANGS = "hangs"
@@ -57,24 +60,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """How a call ends, and after how long."""
+    """How a call ends, and how long it takes."""
 
     verdict: Verdict
     took_us: int
 
 
 class Destinations(Protocol):
-    """What hollow relays call."""
+    """The destinations that simulated relays call."""
 
     def answer(self, host: str, now_us: int, limit_us: int) -> CallEnd:
-        """How a call that begins now will end; ``limit_us`` after its start it is given up."""
+        """How a call that begins now will end; it times out after ``limit_us``."""
 
     def is_down(self, host: str, now_us: int) -> bool:
-        """Whether a call that begins now is wasted."""
+        """Whether the destination is down, so that a call that begins now is wasted."""
 
 
 class Simulation:
-    """Simulated time, and what is to happen in it."""
+    """A simulated clock with a queue of scheduled callbacks."""
 
     def __init__(self) -> None:
         self.now_us = 0
@@ -82,11 +85,11 @@
         self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
 
     def schedule(self, at_us: int, act: Callable[[], None]) -> None:
-        """Call ``act`` at that time; what is due at the same time is called in the order given."""
+        """Call ``act`` at ``at_us``; callbacks for the same time run in the order of scheduling."""
         heapq.heappush(self._scheduled, (at_us, next(self._sequence), act))
 
     def run(self, until_us: int) -> None:
-        """Let time pass up to then."""
+        """Run the callbacks due before ``until_us``, and set the clock to it."""
         while self._scheduled and self._scheduled[0][0] < until_us:
             self.now_us, _, act = heapq.heappop(self._scheduled)
             act()
@@ -95,68 +98,71 @@
 
 @dataclass(slots=True)
 class OpenMessage:
-    """A message that a relay took in and has not ended."""
+    """A message that a relay accepted and that has no final result."""
 
     cls: MessageClass
     host: str
-    at_us: int
+    at_us: int  # when it was accepted
     attempts: int = 0
 
 
 @dataclass(slots=True)
 class Counts:
-    """What became of a relay's messages and calls."""
+    """Results of a relay's messages and calls."""
 
-    taken: int = 0
-    taken_for_down: int = 0  # of them, for a destination that was down then
+    taken: int = 0  # messages accepted
+    taken_for_down: int = 0  # of these, for a destination that was down at the time
     delivered: int = 0
     refused: int = 0
     failed: int = 0
     calls: int = 0
-    wasted_calls: int = 0  # of them, at destinations that were down
-    wasted_slot_us: int = 0  # us that they held slots
-    max_wasted_at_once: int = 0  # of them out at once
+    wasted_calls: int = 0  # of these, to destinations that were down
+    wasted_slot_us: int = 0  # time for which wasted calls held a slot, summed up
+    max_wasted_at_once: int = 0  # most wasted calls open at the same time
     cancels: int = 0
     due_healthy: int = 0  # messages for healthy destinations whose aim has passed
-    on_time: int = 0  # of them, those delivered by then
+    on_time: int = 0  # of these, delivered within their aim
     steps: int = 0
 
 
 @dataclass(slots=True)
 class Timing:
-    """Processor time in the module; the first list that it takes in is left out."""
+    """Processor time in the engine, without that for loading the first list."""
 
-    seconds: float = 0.0
+    seconds: float = 0.0  # of all steps
     longest_step_s: float = 0.0
 
 
 class SimulatedRelay:
-    """The decision module with its timers, its messages and its calls, and no work behind them."""
+    """The decision engine with its timers, messages and calls, without a network."""
 
-    def __init__(self, simulation: Simulation, module: DecisionEngine, destinations: Destinations) -> None:
-        self.engine, self.counts, self.timing = module, Counts(), Timing()
+    def __init__(self, simulation: Simulation, engine: DecisionEngine, destinations: Destinations) -> None:
+        self.engine = engine
+        self.counts = Counts()
+        self.timing = Timing()
         self.after_step: Callable[[], None] = lambda: None  # called after each step
         self._simulation, self._destinations = simulation, destinations
         self._open_messages: dict[str, OpenMessage] = {}
-        self._call_starts_us: dict[tuple[str, int], int] = {}  # by message and attempt: when a call began
+        self._call_starts_us: dict[tuple[str, int], int] = {}  # of open calls, by message and attempt
         self._open_wasted_calls = 0
-        self._delivered_in_aim: set[str] = set()  # delivered, and their aim has not passed
+        self._delivered_in_aim: set[str] = set()  # delivered messages whose aim has not passed yet
         self._waiting_events: list[Event] = []
-        self._next_step_us, self._step_scheduled = 0, False
+        self._next_step_us = 0  # earliest time of the next step
+        self._step_scheduled = False
 
     @property
     def open_count(self) -> int:
-        """Messages that have not ended."""
+        """Number of messages without a final result."""
         return len(self._open_messages)
 
     def load_list(self, entries: tuple[Entry, ...]) -> None:
-        """Take in the whole list at once."""
+        """Give the whole endpoint list to the engine in one step."""
         self._execute(
             self.engine.step(self._simulation.now_us, [EndpointUpdate(EndpointUpdateKind.WHOLE, entries)])
         )
 
     def accept_message(self, name: str, entry: Entry, cls: MessageClass) -> None:
-        """Take in a message."""
+        """Accept a message: its arrival is an event of the next step."""
         now_us = self._simulation.now_us
         self._open_messages[name] = OpenMessage(cls, entry.host, now_us)
         self.counts.taken += 1
@@ -167,7 +173,7 @@
         self._queue_event(Arrival(name, entry.dest, cls.name, cls.deadline_us))
 
     def count_open_calls(self) -> None:
-        """Count the slot time of calls that are still out."""
+        """Add the slot time of wasted calls that are still open, at the end of a run."""
         now_us = self._simulation.now_us
         for (name, _), begun_us in self._call_starts_us.items():
             if name in self._open_messages and self._destinations.is_down(
@@ -182,7 +188,7 @@
             self.counts.on_time += 1
 
     def _queue_event(self, event: Event) -> None:
-        """Put an event before the module at its next step, one round after the last at the earliest."""
+        """Give an event to the engine at its next step, at the earliest one round after the previous step."""
         self._waiting_events.append(event)
         if not self._step_scheduled:
             self._step_scheduled = True
@@ -225,9 +231,11 @@
             self.counts.wasted_calls += 1
             self._open_wasted_calls += 1
             self.counts.max_wasted_at_once = max(self.counts.max_wasted_at_once, self._open_wasted_calls)
-        answer = self._destinations.answer(send.host, now_us, send.timeout_us)
-        end_us = now_us + answer.took_us
-        self._simulation.schedule(end_us, lambda: self._end_call(send.id, attempt, send.host, answer.verdict))
+        call_end = self._destinations.answer(send.host, now_us, send.timeout_us)
+        end_us = now_us + call_end.took_us
+        self._simulation.schedule(
+            end_us, lambda: self._end_call(send.id, attempt, send.host, call_end.verdict)
+        )
 
     def _cancel_call(self, action: Cancel) -> None:
         self.counts.cancels += 1
@@ -235,7 +243,9 @@
         self._end_call(action.id, action.attempt, host, Verdict.CANCELLED)
 
     def _end_call(self, name: str, attempt: int, host: str, verdict: Verdict) -> None:
-        if (begun_us := self._call_starts_us.pop((name, attempt), None)) is None:  # it was cancelled before
+        if (
+            begun_us := self._call_starts_us.pop((name, attempt), None)
+        ) is None:  # the call was cancelled before
             return
         now_us, served = self._simulation.now_us, verdict is Verdict.OK
         if self._destinations.is_down(host, begun_us):
@@ -250,7 +260,7 @@
 
 
 class MessageSource:
-    """Messages that come to a relay at random times, for destinations drawn evenly from the list."""
+    """Submits messages to a relay at random times, to destinations drawn evenly from the list."""
 
     def __init__(
         self,
@@ -275,7 +285,7 @@
 
 
 def make_entries(size: int) -> tuple[Entry, ...]:
-    """A list of so many destinations with one endpoint each."""
+    """A list of ``size`` destinations with one endpoint each."""
     return tuple(
         Entry(f"host-{number}", number, ZONES[number % len(ZONES)], "plain", Listing.READY)
         for number in range(size)
@@ -283,7 +293,7 @@
 
 
 def failed_call_end(fault: Fault, limit_us: int) -> CallEnd:
-    """How a call at a destination with this fault ends."""
+    """How a call to a destination with this fault ends."""
     if fault is Fault.CONNECT_FAILS:
         return CallEnd(Verdict.CONNECT_FAILED, min(limit_us, CONNECT_FAILURE_US))
     if fault is Fault.REFUSES:
@@ -292,6 +302,6 @@
 
 
 def served_call_end(random: Random, limit_us: int) -> CallEnd:
-    """How a call at a healthy destination ends."""
+    """How a call to a healthy destination ends."""
     took_us = int(random.lognormvariate(math.log(MEDIAN_LATENCY_US), LATENCY_LOG_DEVIATION))
     return CallEnd(Verdict.OK, took_us) if took_us <= limit_us else CallEnd(Verdict.TIMEOUT, limit_us)
