--- a/fleetlab/scale/simulated_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -1,8 +1,8 @@
-"""Three members of a quorum and many holders in simulated time, in one process.
+"""Three members of a quorum and many lease holders in simulated time, in one process.
 
-The members are the service's own cores; all frames pass through its wire format and all writes through the
-form of its log. Each request is a step of its own, as with a leader that is never behind: a busy leader takes
-several in one step, and then sends and writes less for each.
+The members are the service's real cores; all frames are encoded in its wire format and all writes in its log
+format. Each request gets a step of its own, as with a leader that is never behind. A busy leader handles
+several requests in one step, and then sends and writes less for each.
 """
 
 from __future__ import annotations
@@ -25,21 +25,24 @@
 from quorum.store import LogRecord, encode_record
 
 MEMBER_NAMES = ("quorum0", "quorum1", "quorum2")
-MIN_DELAY_US, MAX_DELAY_US = 100, 1_000  # of a message
-DISK_SYNC_US = 1_000
-JOIN_SPREAD_US = SECOND_US  # over which holders begin
-TTL_MS = 6_000
-RENEWALS_PER_TTL = 3  # as ``fleetlab.lease_load`` and ``quorum.holder`` have it
+# Range of the delay of a message on the network.
+MIN_DELAY_US = 100
+MAX_DELAY_US = 1_000
+DISK_SYNC_US = 1_000  # until a write is on disk
+JOIN_SPREAD_US = SECOND_US  # holders open their sessions within this time
+TTL_MS = 6_000  # of a lease
+RENEWALS_PER_TTL = 3  # same as in ``fleetlab.lease_load`` and ``quorum.holder``
 
 
 class SimulatedMember:
-    """One member, its disk, and what it used."""
+    """One member with a simulated disk; counts its processor time and log bytes."""
 
     def __init__(self, quorum: SimulatedQuorum, name: str, member: type[Member]) -> None:
-        self._quorum, self._name = quorum, name
-        self.processor_s = 0.0
+        self._quorum = quorum
+        self._name = name
+        self.processor_s = 0.0  # used by its steps
         self.log_bytes = 0
-        self._scheduled_wake_us = -1
+        self._scheduled_wake_us = -1  # -1: no wake-up is scheduled
         self.core = member(
             name,
             MEMBER_NAMES,
@@ -52,11 +55,11 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether it is the leader."""
+        """Whether this member is the leader."""
         return self.core.raft.role is Role.LEADER
 
     def schedule_wake(self) -> None:
-        """Wake it when it is due."""
+        """Schedule a wake-up at the time the core asks for, unless that is scheduled already."""
         if self.core.due_us != self._scheduled_wake_us:
             self._scheduled_wake_us = self.core.due_us
             self._quorum.world.at(self._scheduled_wake_us, partial(self._wake, self._scheduled_wake_us))
@@ -67,28 +70,28 @@
             self.run_step(partial(self.core.wake, due_us))
 
     def run_step(self, step: Callable[[], list[Output]]) -> None:
-        """One step, and what follows from it."""
+        """Execute a step, then handle its outputs; its time and that of encoding them is counted."""
         begun_s = processor_seconds()
-        outs = step()
-        frames = [self._encode_output(out) for out in outs]
+        outputs = step()
+        frames = [self._encode_output(output) for output in outputs]
         self.processor_s += processor_seconds() - begun_s
-        for out, data in zip(outs, frames, strict=True):
-            self._quorum.handle_output(self._name, out, data)
+        for output, data in zip(outputs, frames, strict=True):
+            self._quorum.handle_output(self._name, output, data)
         self.schedule_wake()
 
-    def _encode_output(self, out: Output) -> bytes:
-        """What a step sends or writes, as bytes."""
-        match out:
+    def _encode_output(self, output: Output) -> bytes:
+        """A step's output as bytes on the wire or in the log; empty for other outputs."""
+        match output:
             case Send():
-                return wire.encode_frame(out.message)
+                return wire.encode_frame(output.message)
             case Reply():
-                return wire.encode_frame(wire.Told(out.tag, out.response))
+                return wire.encode_frame(wire.Told(output.tag, output.response))
             case Persist():
-                return encode_record(LogRecord(out.hard, out.first, out.entries, out.snapshot))
+                return encode_record(LogRecord(output.hard, output.first, output.entries, output.snapshot))
         return b""
 
     def receive_message(self, sender: str, body: bytes) -> None:
-        """A frame of another member."""
+        """Handle the body of a frame from another member."""
         self.run_step(partial(self._handle_message, sender, body))
 
     def _handle_message(self, sender: str, body: bytes) -> list[Output]:
@@ -96,7 +99,7 @@
         return self.core.receive(self._quorum.world.now_us, sender, message)
 
     def receive_request(self, body: bytes) -> None:
-        """A client's frame."""
+        """Handle the body of a frame from a client."""
         self.run_step(partial(self._handle_request, body))
 
     def _handle_request(self, body: bytes) -> list[Output]:
@@ -106,7 +109,7 @@
 
 
 class SimulatedQuorum:
-    """All of them; ``frames`` and ``bytes`` count what passes at the leader, by its way."""
+    """All members and holders; ``frames`` and ``bytes`` count the leader's traffic by direction."""
 
     def __init__(self, seed: int, member: type[Member] = Member) -> None:
         self.world = World(seed)
@@ -119,47 +122,47 @@
 
     @property
     def leader(self) -> SimulatedMember:
-        """The member that leads; ``RuntimeError`` where none does."""
+        """The present leader; ``RuntimeError`` if there is none."""
         for member in self.members.values():
             if member.is_leader:
                 return member
-        raise RuntimeError("no member leads")
+        raise RuntimeError("no member is the leader")
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Run the simulation for this many simulated seconds."""
         self.world.run(self.world.now_us + int(seconds * SECOND_US))
 
     def add_holders(self, holders: int) -> None:
-        """Holders come, within a second, and keep a lease each."""
+        """Add holders that open their sessions within ``JOIN_SPREAD_US`` and then keep a lease each."""
         for number in range(holders):
             self._holders[number] = holder = SimulatedHolder(self, number)
             self.world.after(self.random.randint(0, JOIN_SPREAD_US), holder.open_session)
 
     def send_request(self, number: int, request: Request) -> None:
-        """A request of the holder of that number goes to the leader."""
+        """Send a request of holder ``number`` to the leader."""
         data = wire.encode_frame(wire.Ask(number, request))
         self._count_frame("client_in", data)
         self._run_after_delay(lambda: self.leader.receive_request(data[wire.LENGTH_PREFIX.size :]))
 
-    def handle_output(self, name: str, out: Output, data: bytes) -> None:
-        """What a member's step leads to."""
-        leads = self.members[name].is_leader
-        match out:
+    def handle_output(self, name: str, output: Output, data: bytes) -> None:
+        """Deliver or write an output of member ``name``'s step; ``data`` is its encoded form."""
+        is_leader = self.members[name].is_leader
+        match output:
             case Send(to, _):
-                if leads or self.members[to].is_leader:
-                    self._count_frame("member_out" if leads else "member_in", data)
+                if is_leader or self.members[to].is_leader:
+                    self._count_frame("member_out" if is_leader else "member_in", data)
                 self._run_after_delay(
                     lambda: self.members[to].receive_message(name, data[wire.LENGTH_PREFIX.size :])
                 )
             case Persist():
                 self.members[name].log_bytes += len(data)
-                if leads:
+                if is_leader:
                     self._count_frame("log_out", data)
-                step = partial(self._finish_disk_sync, name, out.number)
+                step = partial(self._finish_disk_sync, name, output.number)
                 self.world.after(DISK_SYNC_US, step)
             case Reply():
                 self._count_frame("client_out", data)
-                self._run_after_delay(lambda: self._holders[out.tag].receive_response(out.response))
+                self._run_after_delay(lambda: self._holders[output.tag].receive_response(output.response))
 
     def _finish_disk_sync(self, name: str, number: int) -> None:
         member = self.members[name]
@@ -168,25 +171,26 @@
     def _run_after_delay(self, work: Callable[[], None]) -> None:
         self.world.after(self.random.randint(MIN_DELAY_US, MAX_DELAY_US), work)
 
-    def _count_frame(self, way: str, data: bytes) -> None:
-        self.frames[way] += 1
-        self.bytes[way] += len(data)
+    def _count_frame(self, direction: str, data: bytes) -> None:
+        self.frames[direction] += 1
+        self.bytes[direction] += len(data)
 
     def state_bytes(self) -> int:
-        """The replicated state as a snapshot has it."""
+        """Size of the replicated state in the encoding of a snapshot."""
         return len(msgspec.msgpack.encode(self.leader.core.machine.state))
 
 
 class SimulatedHolder:
-    """One holder: a session, a lease, renewals."""
+    """A holder that opens a session, acquires a lease and renews it."""
 
     def __init__(self, quorum: SimulatedQuorum, number: int) -> None:
-        self._quorum, self._number = quorum, number
+        self._quorum = quorum
+        self._number = number
         self._name = f"relay-{number:04}"
         self._session = self._sequence = self._token = 0
 
     def open_session(self) -> None:
-        """Begin a session."""
+        """Ask for a session."""
         self._quorum.send_request(self._number, Open(self._name))
 
     def _next_sequence(self) -> int:
@@ -194,7 +198,7 @@
         return self._sequence
 
     def receive_response(self, response: Response) -> None:
-        """The next step follows from the answer; anything but ``Done`` is counted and ends it."""
+        """Send the next request after a response; any but ``Done`` counts as a refusal and stops the holder."""
         if not isinstance(response, Done):
             self._quorum.refusals += 1
         elif not self._session:
