--- a/fleetlab/scale/worker.py
+++ b/fleetlab/scale/worker.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab.scale.worker SUBJECT SIZE SEED``: one measurement in a process of its own, as JSON."""
+"""``python -m fleetlab.scale.worker SUBJECT SIZE SEED``: one measurement, printed as JSON."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from fleetlab.scale.registry import find_subject
 from fleetlab.scale.subject import Subject
 
-MAX_ERROR_CHARACTERS = 300
+MAX_ERROR_CHARACTERS = 300  # of a failed measurement's last line, in the error
 
 
 def measure_in_process(subject: Subject, size: int, seed: int) -> Sample:
-    """Measure in a fresh process; ``ScaleError`` where it fails or takes too long, and then it is ended."""
+    """Measure in a new process; if it fails or exceeds its time, it is killed and ``ScaleError`` is raised."""
     command = [sys.executable, "-m", "fleetlab.scale.worker", subject.name, str(size), str(seed)]
     try:
         done = subprocess.run(command, capture_output=True, timeout=subject.timeout_s, check=False)
@@ -34,7 +34,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure and print."""
+    """Measure, and print the sample as JSON."""
     subject, size, seed = find_subject(arguments[0]), int(arguments[1]), int(arguments[2])
     begun_s = time.monotonic()
     readings = tuple(subject.measure(size, seed))
