--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -108,7 +108,7 @@
 
 
 def load_into_driver(size: int, seed: int, driver_type: type[CountingDriver] = CountingDriver) -> DriverLoad:
-    """Load the list into the real driver from a simulated directory, in an event loop with timed iterations."""
+    """Load the list into a real driver from a simulated directory; the event loop's iterations are timed."""
     selector = LoopTimingSelector()
     with (
         start_directory(size, seed) as directory,
--- a/fleetlab/scale/simulated_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -198,7 +198,7 @@
         return self._sequence
 
     def receive_response(self, response: Response) -> None:
-        """Send the next request after a response; any but ``Done`` counts as a refusal and stops the holder."""
+        """Send the next request; a response other than ``Done`` counts as a refusal and stops the holder."""
         if not isinstance(response, Done):
             self._quorum.refusals += 1
         elif not self._session:
