--- a/fleetlab/scale/subjects/__init__.py
+++ b/fleetlab/scale/subjects/__init__.py
@@ -1,1 +1,1 @@
-"""The subjects of measurement, one module each."""
+"""The subjects of the scale measurements, related ones in one module."""
--- a/fleetlab/scale/subjects/backlog.py
+++ b/fleetlab/scale/subjects/backlog.py
@@ -1,4 +1,4 @@
-"""A relay that holds a backlog: its journal, its memory, its restart, and the module's steps."""
+"""A relay that holds a backlog: its journal, memory, restart, and the decision engine's steps."""
 
 from __future__ import annotations
 
@@ -31,23 +31,27 @@
 from relay.driver import HeldMessage
 from relay.journal import BLOCK_BYTES, Attempt, Journal
 
-BYTES_PER_MESSAGE = 6_000  # upper estimate of memory: this process and the one that replays
-LIST_BYTES = 300_000_000  # the same for the module's 31,000 destinations
-CHURN_MESSAGES = 2_000  # messages that come and are delivered while the backlog stands
-AMPLE_BYTES_PER_MESSAGE, AMPLE_BASE_BYTES = 4_000, 1 << 24  # of disk: for each message, and beside
-ARRIVALS_PER_STEP = 1_000  # arrivals in a step while the backlog builds up
-ROUND_US = 5_000
-TRAFFIC_STEPS, TRAFFIC_ARRIVALS = 500, 7  # steps of ordinary traffic, and arrivals in each: 350 a second
-QUIET_STEPS = 10  # in which all calls out are answered
+BYTES_PER_MESSAGE = 6_000  # upper estimate of memory: this process and the one that replays the journal
+LIST_BYTES = 300_000_000  # upper estimate of memory for the engine's 31,000 destinations
+CHURN_MESSAGES = 2_000  # messages accepted and delivered while the backlog is held
+AMPLE_BYTES_PER_MESSAGE = 4_000  # disk size that never runs short: for each message
+AMPLE_BASE_BYTES = 1 << 24  # and in addition to that
+ARRIVALS_PER_STEP = 1_000  # while the backlog is built up
+ROUND_US = 5_000  # between two steps when single events are timed, as in the settings
+TRAFFIC_STEPS = 500  # steps of ordinary traffic that are timed
+TRAFFIC_ARRIVALS = 7  # messages in each of these steps: 350 a second
+QUIET_STEPS = 10  # enough for all open calls to end
 TIMED_EVENTS = 100  # single events that are timed
-RECOVERY_STEPS, COUNTED_STEPS = 300, 20  # steps of delivery that are timed; whose lines are counted after
+RECOVERY_STEPS = 300  # steps of the backlog's delivery that are timed
+COUNTED_STEPS = 20  # steps of delivery after these, whose executed lines are counted
 MICROSECONDS_PER_S = 1e6
 
 
 class MeasuredJournal(Journal):
-    """The journal as it is, with how often it tried a compaction and the longest one."""
+    """The unchanged journal; counts its attempted compactions and times the longest one."""
 
-    compactions, longest_compaction_s = 0, 0.0
+    compactions = 0
+    longest_compaction_s = 0.0
 
     def _compact(self) -> None:
         begun_s = time.perf_counter()
@@ -57,20 +61,20 @@
 
 
 def required_disk_bytes(messages: list[HeldMessage], record_bytes: int) -> int:
-    """The disk that a relay must be given to accept messages with so many bytes of records.
+    """The disk size that a relay needs to accept these messages, whose records take ``record_bytes``.
 
-    Old and new log stand side by side during a compaction, each with room for what may be said later.
+    During a compaction the old and the new log both exist, each with space for the messages' later records.
     """
     return 2 * (record_bytes + sum(map(reserved_bytes, messages)) + BLOCK_BYTES) + 4 * BLOCK_BYTES
 
 
 def ample_disk_bytes(count: int) -> int:
-    """A disk on which so many messages never come near the budget."""
+    """A disk size that ``count`` messages never use up."""
     return AMPLE_BYTES_PER_MESSAGE * count + AMPLE_BASE_BYTES
 
 
 def accept_all(journal: Journal, messages: list[HeldMessage]) -> float:
-    """Accept all of them; the seconds that it took."""
+    """Record all messages as accepted; return the seconds it took."""
     begun_s = time.perf_counter()
     for held in messages:
         journal.accept(held.message.id, held.message.fields, held.body)
@@ -78,7 +82,7 @@
 
 
 def run_churn(journal: Journal, random: Random, count: int) -> None:
-    """Messages that are accepted, tried and over one after the other, beside what stays."""
+    """Record ``count`` messages that are accepted, attempted once and over, one after the other."""
     for number in range(count):
         held = make_message(number, DESTINATION_COUNT - 1, START_US, random)
         name = held.message.id
@@ -94,7 +98,7 @@
     seed: int,
     churned: int = CHURN_MESSAGES,
 ) -> list[Reading]:
-    """Accept, replay, and traffic beside the backlog, with the real journal."""
+    """Measure the real journal: accepting the backlog, replaying it, and other messages beside it."""
     before_bytes = resident_bytes()
     accept_s = accept_all(journal, messages)
     record_bytes, writes = journal.written_bytes, journal.write_count
@@ -123,7 +127,7 @@
 
 
 def add_backlog(module: SimulatedModule, messages: list[HeldMessage]) -> None:
-    """Hand the backlog in, many messages to a step."""
+    """Give the backlog to the engine, ``ARRIVALS_PER_STEP`` messages in each step."""
     for start in range(0, len(messages), ARRIVALS_PER_STEP):
         module.advance(
             ROUND_US, [module.arrival(held) for held in messages[start : start + ARRIVALS_PER_STEP]]
@@ -131,26 +135,28 @@
 
 
 def make_traffic(module: SimulatedModule, random: Random) -> Callable[[], list[Event]]:
-    """What makes the arrivals of one step of ordinary traffic."""
+    """A function that creates the arrivals of one step of ordinary traffic."""
 
-    def some() -> list[Event]:
+    def next_arrivals() -> list[Event]:
         numbers = range(TRAFFIC_ARRIVALS)
-        fresh = (make_message(n, random.randrange(DESTINATION_COUNT), module.now_us, random) for n in numbers)
-        return [module.arrival(held) for held in fresh]
+        messages = (
+            make_message(n, random.randrange(DESTINATION_COUNT), module.now_us, random) for n in numbers
+        )
+        return [module.arrival(held) for held in messages]
 
-    return some
+    return next_arrivals
 
 
 def run_traffic(module: SimulatedModule, random: Random) -> list[float]:
-    """Ordinary messages for all destinations; the processor seconds of each step."""
-    some = make_traffic(module, random)
-    return [module.advance(STEP_INTERVAL_US, some()) for _ in range(TRAFFIC_STEPS)]
+    """Run ordinary traffic to all destinations; the processor seconds of each step."""
+    next_arrivals = make_traffic(module, random)
+    return [module.advance(STEP_INTERVAL_US, next_arrivals()) for _ in range(TRAFFIC_STEPS)]
 
 
 def measure_full_step(module: SimulatedModule, random: Random) -> tuple[float, int]:
-    """Processor seconds of the step with the arrival that fills the relay, and how many were given up."""
+    """Processor seconds of the step whose arrival reaches the hold cap, and the messages it gave up."""
     for _ in range(QUIET_STEPS):
-        module.advance(STEP_INTERVAL_US)  # calls that will be answered would make room
+        module.advance(STEP_INTERVAL_US)  # otherwise open calls that get an answer would free space
     module.leave_room_for_one()
     before, last = len(module.held), make_message(0, DESTINATION_COUNT - 1, module.now_us, random)
     seconds = module.advance(ROUND_US, [module.arrival(last)])
@@ -158,7 +164,7 @@
 
 
 def measure_single_events(module: SimulatedModule, random: Random, destination: int) -> tuple[float, float]:
-    """Median processor seconds of a step with one arrival, and of one with a call's end."""
+    """Median processor seconds of a step with one arrival, and of a step with one call outcome."""
     arrivals, ends = [], []
     for number in range(TIMED_EVENTS):
         held = make_message(number, destination, module.now_us, random)
@@ -168,19 +174,19 @@
 
 
 def measure_module(held: dict[str, HeldMessage], seed: int) -> list[Reading]:
-    """The module at that backlog: memory, and what its steps cost."""
+    """Measure the decision engine with this backlog: its memory and the cost of its steps."""
     random = Random(seed + 2)
     messages = list(held.values())
     module = SimulatedModule(held, hold_cap=2 * len(messages) + 1_000_000, seed=seed)
     before_bytes = resident_bytes()
     add_backlog(module, messages)
     kept_bytes = resident_bytes() - before_bytes
-    steps = run_traffic(module, random)
+    step_times_s = run_traffic(module, random)
     arrival_s, outcome_s = measure_single_events(module, random, DESTINATION_COUNT - 1)
     held_s, _ = measure_single_events(module, random, 0)
-    some = make_traffic(module, random)
+    next_arrivals = make_traffic(module, random)
     lines = count_executed_lines(
-        lambda: [module.advance(STEP_INTERVAL_US, some()) for _ in range(TIMED_EVENTS)]
+        lambda: [module.advance(STEP_INTERVAL_US, next_arrivals()) for _ in range(TIMED_EVENTS)]
     )
     module.advance_to_status()
     status_lines = count_executed_lines(lambda: module.advance(STEP_INTERVAL_US))
@@ -202,9 +208,11 @@
         Reading("outcome_step_processor_microseconds", outcome_s * MICROSECONDS_PER_S, Source.TIMED),
         Reading("held_arrival_step_processor_microseconds", held_s * MICROSECONDS_PER_S, Source.TIMED),
         Reading(
-            "mean_step_processor_microseconds", statistics.mean(steps) * MICROSECONDS_PER_S, Source.TIMED
+            "mean_step_processor_microseconds",
+            statistics.mean(step_times_s) * MICROSECONDS_PER_S,
+            Source.TIMED,
         ),
-        Reading("longest_step_processor_seconds", max(steps), Source.TIMED),
+        Reading("longest_step_processor_seconds", max(step_times_s), Source.TIMED),
         Reading("report_processor_seconds", module.engine.report_s, Source.TIMED),
         Reading("forget_processor_seconds", module.engine.forget_s, Source.TIMED),
         Reading("arrival_at_hold_cap_processor_seconds", full_s, Source.TIMED),
@@ -214,22 +222,22 @@
 
 
 def measure_recovery(module: SimulatedModule) -> list[Reading]:
-    """All destinations are up again: what the delivery of the backlog costs."""
+    """Bring all destinations up; measure the cost of delivering the backlog."""
     module.down.clear()
     before = module.delivered
-    times = [module.advance(STEP_INTERVAL_US) for _ in range(RECOVERY_STEPS)]
-    message_us = sum(times) / max(1, module.delivered - before) * MICROSECONDS_PER_S
+    step_times_s = [module.advance(STEP_INTERVAL_US) for _ in range(RECOVERY_STEPS)]
+    message_us = sum(step_times_s) / max(1, module.delivered - before) * MICROSECONDS_PER_S
     before = module.delivered
     lines = count_executed_lines(lambda: [module.advance(STEP_INTERVAL_US) for _ in range(COUNTED_STEPS)])
     return [
         Reading("recovery_message_lines", lines / max(1, module.delivered - before)),
         Reading("recovery_message_processor_microseconds", message_us, Source.TIMED),
-        Reading("recovery_longest_step_processor_seconds", max(times), Source.TIMED),
+        Reading("recovery_longest_step_processor_seconds", max(step_times_s), Source.TIMED),
     ]
 
 
 def measure(placement: Placement, size: int, seed: int) -> list[Reading]:
-    """The stages one after the other, so that the memory of each is its own."""
+    """Measure in stages, so that the memory of each stage can be told apart."""
     before_bytes = resident_bytes()
     held = {held.message.id: held for held in make_backlog(size, placement, seed)}
     held_bytes = resident_bytes() - before_bytes
@@ -237,14 +245,14 @@
         journal = MeasuredJournal(Path(folder), ample_disk_bytes(size))
         readings = measure_journal(journal, Path(folder), list(held.values()), seed)
         readings.append(Reading("held_resident_bytes", held_bytes, Source.TIMED))
-        # The journal stays: the module would get its memory again, and seem to need none.
+        # The journal stays open: if its memory were freed, the engine would reuse it and seem to need none.
         readings += measure_module(held, seed)
         journal.close()
     return readings
 
 
 def make_subject(name: str, about: str, placement: Placement) -> Subject:
-    """A backlog that lies in that way."""
+    """A subject that measures a backlog with this placement."""
     return Subject(
         name=name,
         about=about,
