--- a/fleetlab/scale/subjects/endpoint_list.py
+++ b/fleetlab/scale/subjects/endpoint_list.py
@@ -1,4 +1,4 @@
-"""A relay that gets the whole endpoint list: whether and when it is known, and what waits for it."""
+"""A relay that loads the whole endpoint list: whether and when it knows it, and how long others wait."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 def make_settings() -> Settings:
-    """A relay of a fleet of 600 with one class of message."""
+    """Settings of a relay in a fleet of 600, with one message class."""
     seat_status = MessageClass("seat-status", Effect.SAFE, 1_500_000, 6_000_000)
     return Settings(slots=64, classes=(seat_status,), group_size=GROUP_SIZE)
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """Take the list in by the driver, by a relay's process and by the module alone.
+    """Load the list into the driver, into a relay process, and into the engine alone.
 
-    The driver comes first: its memory is read in a process that has held no list before.
+    The driver comes first, because its memory must be read in a process that has held no list before.
     """
     return [
         *driver_readings(load_into_driver(size, seed)),
@@ -40,49 +40,49 @@
     ]
 
 
-def driver_readings(intake: DriverLoad) -> list[Reading]:
-    """What the real driver's loop told; the time is left out where the list never came."""
-    known = [] if intake.seconds is None else [timed_reading("seconds_until_known", intake.seconds)]
+def driver_readings(load: DriverLoad) -> list[Reading]:
+    """The figures of the real driver; without the time until known if the list did not arrive."""
+    known = [] if load.seconds is None else [timed_reading("seconds_until_known", load.seconds)]
     return [
-        Reading("list_known", float(intake.known)),
-        Reading("entries_handed", float(intake.entries_handed)),
-        Reading("most_entries_in_one_step", float(intake.max_entries_in_one_step)),
-        timed_reading("longest_loop_hold_seconds", intake.longest_iteration_s),
+        Reading("list_known", float(load.known)),
+        Reading("entries_handed", float(load.entries_handed)),
+        Reading("most_entries_in_one_step", float(load.max_entries_in_one_step)),
+        timed_reading("longest_loop_hold_seconds", load.longest_iteration_s),
         *known,
-        timed_reading("resident_bytes", float(intake.resident_bytes)),
+        timed_reading("resident_bytes", float(load.resident_bytes)),
     ]
 
 
-def process_readings(intake: ProcessLoad) -> list[Reading]:
-    """What the real process and its client told."""
-    known = [] if intake.seconds is None else [timed_reading("real_seconds_until_known", intake.seconds)]
+def process_readings(load: ProcessLoad) -> list[Reading]:
+    """The figures of the real process and its client."""
+    known = [] if load.seconds is None else [timed_reading("real_seconds_until_known", load.seconds)]
     return [
-        Reading("real_list_known", float(intake.known)),
+        Reading("real_list_known", float(load.known)),
         *known,
-        timed_reading("real_written_bytes", float(intake.written_bytes)),
-        timed_reading("longest_client_wait_seconds", intake.longest_wait_s),
-        timed_reading("real_resident_bytes", float(intake.resident_bytes)),
-        timed_reading("real_peak_resident_bytes", float(intake.peak_resident_bytes)),
+        timed_reading("real_written_bytes", float(load.written_bytes)),
+        timed_reading("longest_client_wait_seconds", load.longest_wait_s),
+        timed_reading("real_resident_bytes", float(load.resident_bytes)),
+        timed_reading("real_peak_resident_bytes", float(load.peak_resident_bytes)),
     ]
 
 
 def measure_engine(size: int, seed: int) -> list[Reading]:
-    """Read a whole list and hand it to the module in one step, with no sockets."""
+    """Parse a whole list and give it to a decision engine in one step, without sockets."""
     line = endpoints.encode_update(size, True, endpoints.make_entries(size, Random(seed)))
-    relay = DecisionEngine(make_settings(), seed)
+    engine = DecisionEngine(make_settings(), seed)
     begun_s = processor_seconds()
-    news = parse_list(json.loads(line))
-    read_s = processor_seconds() - begun_s
+    update = parse_list(json.loads(line))
+    parse_s = processor_seconds() - begun_s
     begun_s = processor_seconds()
-    relay.step(
-        0, [EndpointUpdate(EndpointUpdateKind.WHOLE, tuple(listed.entry for listed in news.endpoints))]
+    engine.step(
+        0, [EndpointUpdate(EndpointUpdateKind.WHOLE, tuple(listed.entry for listed in update.endpoints))]
     )
     step_s = processor_seconds() - begun_s
     return [
         Reading("whole_list_bytes", float(len(line))),
         Reading("fits_one_line", float(len(line) <= line_limit_for_memory(endpoints.RELAY_MEMORY_BYTES))),
-        Reading("endpoints_known", float(relay.listed_count)),
-        timed_reading("read_processor_seconds", read_s),
+        Reading("endpoints_known", float(engine.listed_count)),
+        timed_reading("read_processor_seconds", parse_s),
         timed_reading("longest_step_processor_seconds", step_s),
     ]
 
