--- a/fleetlab/scale/subjects/lease_holders.py
+++ b/fleetlab/scale/subjects/lease_holders.py
@@ -1,4 +1,4 @@
-"""Holders that keep a lease each by renewals: what passes at the leader, and what its core costs it."""
+"""Holders that renew a lease each: the traffic at the quorum's leader, and the processor time of its core."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 from fleetlab.scale.simulated_quorum import SimulatedQuorum
 from fleetlab.scale.subject import Subject
 
-ELECT_S, JOIN_S, MEASURE_S = 2.0, 4.0, 20.0  # simulated
+# Simulated durations.
+ELECT_S = 2.0  # until a leader is elected
+JOIN_S = 4.0  # until all holders have their lease
+MEASURE_S = 20.0
 SIZES = (40, 100, 200, 400, 600)
 TARGET = 600
-BYTES_PER_HOLDER, MIB = 100_000, 1 << 20
-DIRECTIONS = ("client_in", "client_out", "member_in", "member_out", "log_out")
+BYTES_PER_HOLDER = 100_000  # upper estimate of memory
+MIB = 1 << 20
+DIRECTIONS = ("client_in", "client_out", "member_in", "member_out", "log_out")  # of the leader's traffic
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """Elect a leader, let holders come, and let them renew."""
+    """Let a leader be elected and holders join, then measure their renewals."""
     before_bytes = resident_bytes()
     quorum = SimulatedQuorum(seed)
     quorum.run(ELECT_S)
@@ -28,7 +32,7 @@
 
 
 def measure_renewals(quorum: SimulatedQuorum) -> list[Reading]:
-    """What passes at the leader while leases are renewed."""
+    """The leader's traffic, state and processor time while leases are renewed."""
     leader, leases = quorum.leader, len(quorum.leader.core.machine.state.leases)
     frames, sent_bytes, renewals = quorum.frames.copy(), quorum.bytes.copy(), quorum.renewals
     used_s, all_used_s = leader.processor_s, processor_seconds()
@@ -38,8 +42,14 @@
     state_bytes = quorum.state_bytes()
     return [
         Reading("renewals_per_second", renewals / MEASURE_S),
-        *(Reading(f"leader_{way}_second_frames", frames[way] / MEASURE_S) for way in DIRECTIONS),
-        *(Reading(f"leader_{way}_second_bytes", sent_bytes[way] / MEASURE_S) for way in DIRECTIONS),
+        *(
+            Reading(f"leader_{direction}_second_frames", frames[direction] / MEASURE_S)
+            for direction in DIRECTIONS
+        ),
+        *(
+            Reading(f"leader_{direction}_second_bytes", sent_bytes[direction] / MEASURE_S)
+            for direction in DIRECTIONS
+        ),
         Reading("leader_renewal_bytes", sent_bytes.total() / max(1, renewals)),
         Reading("state_bytes", state_bytes),
         Reading("lease_state_bytes", state_bytes / max(1, leases)),
