--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -1,4 +1,4 @@
-"""A settled fleet in calm: what each member sends, and what it costs it in processor time and memory."""
+"""A settled fleet without events: what each member sends, and its processor time and memory."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 from membership.core import MembershipCore
 from membership.view_agreement import FleetTracker
 
-SETTLE_S, CALM_S = 15.0, 45.0  # simulated
-STANDING_UPDATES = 20
+SETTLE_S = 15.0  # simulated, before the measurement
+CALM_S = 45.0  # simulated, of the measurement
+STANDING_UPDATES = 20  # repetitions that are timed
 SIZES = (5, 10, 20, 40, 60, 200, 600, 1024)
 TARGET = 600
 MIB = 1 << 20
-BYTES_PER_ENTRY = 3_000  # upper estimate of memory for one member in another's view
+BYTES_PER_ENTRY = 3_000  # upper estimate of memory for one member's entry in the view of another
 
 
 def memory_bytes(size: int) -> int:
-    """An upper estimate for a simulated fleet: each member holds all."""
+    """Upper estimate of memory for a simulated fleet, in which each member has an entry for all."""
     return 64 * MIB + size * size * BYTES_PER_ENTRY
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """Let a settled fleet be."""
+    """Measure a settled fleet without events."""
     before_bytes = resident_bytes()
     sim = SettledSim(seed, size)
     exclude_objects_from_gc()
@@ -40,7 +41,7 @@
 
 
 def measure_calm(sim: SettledSim) -> list[Reading]:
-    """What is sent while nothing happens."""
+    """Measure what is sent while nothing happens."""
     load = LoadCounter(sim)
     sim.run(CALM_S)
     return [
@@ -51,7 +52,7 @@
 
 
 def measure_standing_update_us(core: MembershipCore) -> float:
-    """What a process spends, at each change of its view, on where it stands in its fleet."""
+    """Processor time of a member to recompute its standing in its fleet, as at each change of its view."""
     fleet = FleetTracker(core.own_update.name, 0)
     begun_s = processor_seconds()
     for number in range(STANDING_UPDATES):
