--- a/fleetlab/scale/subjects/members_faults.py
+++ b/fleetlab/scale/subjects/members_faults.py
@@ -1,4 +1,4 @@
-"""A settled fleet that loses one member, a zone, the way between its regions, or restarts some together."""
+"""A settled fleet that loses one member, a zone or the link between its halves, or restarts some members."""
 
 from __future__ import annotations
 
@@ -13,27 +13,31 @@
 from membership.core import SECOND_US
 
 FaultScenario = Callable[[SettledSim], list[Reading]]
-SETTLE_S = 5.0  # simulated, as all times here
-FAULT_TIMEOUT_S = 120.0  # at most, until all agree
-CUT_S, HEAL_TIMEOUT_S = 90.0, 180.0
-DOWN_S = 3.0  # of a member that is restarted
-AFTERMATH_S = 20.0  # once all agree again, while news are still told
-MAX_RESTARTS, MEMBERS_PER_RESTART = 30, 10  # together: so many, or one in so many
-STEP_S = 0.5
+# All times are simulated.
+SETTLE_S = 5.0  # before the fault
+FAULT_TIMEOUT_S = 120.0  # for all members to agree after a fault
+CUT_S = 90.0  # for which the halves do not reach each other
+HEAL_TIMEOUT_S = 180.0  # for all members to agree after that
+DOWN_S = 3.0  # between the end and the restart of a member
+AFTERMATH_S = 20.0  # measured after all agree again, while updates are still sent
+# One in ten members is restarted, 30 at most.
+MAX_RESTARTS = 30
+MEMBERS_PER_RESTART = 10
+STEP_S = 0.5  # between checks whether all agree
 ALL_SIZES = (20, 40, 60, 200, 600, 1024)
-ZONE_SIZES = (20, 40, 60, 200, 400, 500)  # at 600 not within the time that a measurement may take
-CUT_SIZES = (20, 40, 60, 100, 200, 250)  # likewise
+ZONE_SIZES = (20, 40, 60, 200, 400, 500)  # 600 exceeds the time that a measurement may take
+CUT_SIZES = (20, 40, 60, 100, 200, 250)  # larger sizes exceed that time too
 
 
-def measure_agreement(sim: SettledSim, phase: str, most_s: float) -> list[Reading]:
-    """Seconds until all agree; the reading is missing where they do not in time."""
-    seconds = sim.until_agreed(most_s, STEP_S)
-    found = [Reading(f"{phase}_agreed", float(seconds is not None))]
-    return found if seconds is None else [*found, Reading(f"{phase}_until_agreed_seconds", seconds)]
+def measure_agreement(sim: SettledSim, phase: str, timeout_s: float) -> list[Reading]:
+    """Whether all members agree within ``timeout_s``, and if so after how many seconds."""
+    seconds = sim.until_agreed(timeout_s, STEP_S)
+    agreed = [Reading(f"{phase}_agreed", float(seconds is not None))]
+    return agreed if seconds is None else [*agreed, Reading(f"{phase}_until_agreed_seconds", seconds)]
 
 
 def detection_readings(sim: SettledSim, phase: str, *names: str) -> list[Reading]:
-    """When the first and the last member held one of those lost failed; missing where not all do."""
+    """When the first and the last member considered a lost one failed; empty if a loss was not detected."""
     times = [found for name in names if (found := sim.detection_s(name)) is not None]
     if len(times) < len(names):
         return []
@@ -44,23 +48,26 @@
 
 
 def kill_one(sim: SettledSim) -> list[Reading]:
-    """One member goes without a word."""
+    """One member ends without announcing it."""
     lost, load = sim.names[-1], LoadCounter(sim)
     sim.kill(lost)
-    found = measure_agreement(sim, "killed", FAULT_TIMEOUT_S)
-    return [*load.readings("killed"), *found, *detection_readings(sim, "killed", lost)]
+    agreement = measure_agreement(sim, "killed", FAULT_TIMEOUT_S)
+    return [*load.readings("killed"), *agreement, *detection_readings(sim, "killed", lost)]
 
 
 def lose_zone(sim: SettledSim) -> list[Reading]:
-    """A fifth of the members go at once."""
+    """All members of a zone, a fifth of the fleet, end at once."""
     lost, load = [name for name, node in sim.nodes.items() if node.zone == ZONES[-1]], LoadCounter(sim)
     sim.kill(*lost)
-    found = measure_agreement(sim, "zone", FAULT_TIMEOUT_S)
-    return [*load.readings("zone"), *found, *detection_readings(sim, "zone", *lost)]
+    agreement = measure_agreement(sim, "zone", FAULT_TIMEOUT_S)
+    return [*load.readings("zone"), *agreement, *detection_readings(sim, "zone", *lost)]
 
 
 def cut_regions(sim: SettledSim) -> list[Reading]:
-    """Two halves that do not reach each other for a while; its load is until each holds the other failed."""
+    """Two halves do not reach each other for a while.
+
+    The load of the cut is measured until each half considers the other failed.
+    """
     load, begun_us = LoadCounter(sim), sim.world.now_us
     sim.halve()
     halved = _run_until_halved(sim)
@@ -68,12 +75,12 @@
     sim.run(max(0.0, CUT_S - (sim.world.now_us - begun_us) / SECOND_US))
     load = LoadCounter(sim)
     sim.heal()
-    found = measure_agreement(sim, "healed", HEAL_TIMEOUT_S)
-    return [*cut, *load.readings("healed"), *found]
+    agreement = measure_agreement(sim, "healed", HEAL_TIMEOUT_S)
+    return [*cut, *load.readings("healed"), *agreement]
 
 
 def _run_until_halved(sim: SettledSim) -> bool:
-    """Run until each member holds its half alone to live, or the cut's time is over; whether they do."""
+    """Run until each member considers only its half live, or for ``CUT_S``; whether all do."""
     half = len(sim.names) // 2
     for _ in range(int(CUT_S / STEP_S)):
         sim.run(STEP_S)
@@ -83,26 +90,26 @@
 
 
 def restart_some(sim: SettledSim) -> list[Reading]:
-    """Some end without a word, and begin new lives together a little later."""
+    """Some members end without announcing it, and start new lives together after ``DOWN_S``."""
     count = min(MAX_RESTARTS, max(1, len(sim.names) // MEMBERS_PER_RESTART))
     names, load = sim.names[-count:], LoadCounter(sim)
     sim.kill(*names)
     sim.run(DOWN_S)
     sim.restart(*names)
-    found = [*measure_agreement(sim, "restarts", FAULT_TIMEOUT_S), *load.readings("restarts")]
+    agreement = [*measure_agreement(sim, "restarts", FAULT_TIMEOUT_S), *load.readings("restarts")]
     load = LoadCounter(sim)
     sim.run(AFTERMATH_S)
-    return [Reading("restarted_members", count), *found, *load.readings("after")]
+    return [Reading("restarted_members", count), *agreement, *load.readings("after")]
 
 
-def make_subject(name: str, about: str, play: FaultScenario, sizes: tuple[int, ...]) -> Subject:
-    """A subject for one fault."""
+def make_subject(name: str, about: str, scenario: FaultScenario, sizes: tuple[int, ...]) -> Subject:
+    """A subject that measures one fault scenario."""
 
     def measure(size: int, seed: int) -> list[Reading]:
         sim = SettledSim(seed, size)
         exclude_objects_from_gc()
         sim.run(SETTLE_S)
-        return [*play(sim), Reading("false_alarms", len(sim.false_alarms))]
+        return [*scenario(sim), Reading("false_alarms", len(sim.false_alarms))]
 
     return Subject(
         name=name,
