--- a/fleetlab/scale/subjects/members_processes.py
+++ b/fleetlab/scale/subjects/members_processes.py
@@ -1,4 +1,4 @@
-"""Real members in calm, each a process on loopback, to compare the simulated ones with."""
+"""Real members without events, a process each on loopback, for comparison with the simulated ones."""
 
 from __future__ import annotations
 
@@ -21,19 +21,22 @@
 from fleetlab.sim.settled import ZONES
 from membership.messages import Exchange
 
-PORT, OPERATORS_PORT = 7946, 7947
-SEED_COUNT = 3
-JOIN_TIMEOUT_S, SETTLE_S, CALM_S = 40.0, 10.0, 30.0
-POLL_S = 0.5
+PORT = 7946
+OPERATORS_PORT = 7947
+SEED_COUNT = 3  # members that the others contact first
+JOIN_TIMEOUT_S = 40.0  # for all members to know of each other
+SETTLE_S = 10.0  # from then until the measurement
+CALM_S = 30.0  # of the measurement
+POLL_S = 0.5  # between checks whether all know of each other
 SIZES = (5, 10, 20, 40)
 TARGET = 600
-BYTES_PER_PROCESS = 64 << 20
+BYTES_PER_PROCESS = 64 << 20  # upper estimate of memory
 SENT_METRICS = ("peers_datagrams_sent_total", "peers_exchanges_sent_total")
 
 
 @dataclass(slots=True)
 class RealMember:
-    """One process."""
+    """A member and its process."""
 
     name: str
     host: str
@@ -41,7 +44,7 @@
     process_id: int = 0
 
     def config(self, folder: Path, seeds: list[str]) -> str:
-        """Its configuration file, with the default times."""
+        """The text of its configuration file, with the default times."""
         return "\n".join(
             [
                 f'name = "{self.name}"',
@@ -56,64 +59,64 @@
 
 
 def measure(size: int, _seed: int) -> list[Reading]:
-    """Start members, wait until they agree on their number, and let them be."""
+    """Start members, wait until they agree on their number, and measure them without events."""
     with TemporaryDirectory() as folder:
         return asyncio.run(_measure(size, Path(folder)))
 
 
 async def _measure(size: int, folder: Path) -> list[Reading]:
     net = random_loopback_prefix()
-    some = [
+    members = [
         RealMember(f"relay-{number:04}:{PORT}", f"{net}.{number + 1}", ZONES[number % len(ZONES)])
         for number in range(size)
     ]
     async with Programs(folder) as programs:
-        seeds = [member.host for member in some[:SEED_COUNT]]
-        for member in some:
+        seeds = [member.host for member in members[:SEED_COUNT]]
+        for member in members:
             config = member.config(folder, seeds)
             member.process_id = await programs.start(member.name, "fleetlab.scale.counted_member", config)
-        await _wait_until_agreed(some)
+        await _wait_until_agreed(members)
         await asyncio.sleep(SETTLE_S)
-        return await _measure_calm(some, folder)
+        return await _measure_calm(members, folder)
 
 
-async def _wait_until_agreed(some: list[RealMember]) -> None:
+async def _wait_until_agreed(members: list[RealMember]) -> None:
     until_s = time.monotonic() + JOIN_TIMEOUT_S
     while time.monotonic() < until_s:
-        found = [await fetch_metrics(member.host, OPERATORS_PORT) for member in some]
-        if all(item.get("peers_living") == len(some) for item in found):
+        metrics = [await fetch_metrics(member.host, OPERATORS_PORT) for member in members]
+        if all(item.get("peers_living") == len(members) for item in metrics):
             return
         await asyncio.sleep(POLL_S)
-    raise ScaleError(f"{len(some)} members did not find together within {JOIN_TIMEOUT_S:.0f} s")
+    raise ScaleError(f"{len(members)} members did not all find each other within {JOIN_TIMEOUT_S:.0f} s")
 
 
-async def _sum_sent_counts(some: list[RealMember]) -> list[float]:
-    """Sums over all members of what their pages count."""
-    found = [await fetch_metrics(member.host, OPERATORS_PORT) for member in some]
-    return [sum(item.get(name, 0) for item in found) for name in SENT_METRICS]
+async def _sum_sent_counts(members: list[RealMember]) -> list[float]:
+    """The sums of ``SENT_METRICS`` over all members."""
+    metrics = [await fetch_metrics(member.host, OPERATORS_PORT) for member in members]
+    return [sum(item.get(name, 0) for item in metrics) for name in SENT_METRICS]
 
 
-async def _measure_calm(some: list[RealMember], folder: Path) -> list[Reading]:
-    processes = [member.process_id for member in some]
-    before = await _sum_sent_counts(some)
-    used_s, begun_us = processor_seconds_of(processes), time.monotonic_ns() // 1000
+async def _measure_calm(members: list[RealMember], folder: Path) -> list[Reading]:
+    process_ids = [member.process_id for member in members]
+    before = await _sum_sent_counts(members)
+    processor_s, begun_us = processor_seconds_of(process_ids), time.monotonic_ns() // 1000
     await asyncio.sleep(CALM_S)
-    used_s, ended_us = processor_seconds_of(processes) - used_s, time.monotonic_ns() // 1000
+    processor_s, ended_us = processor_seconds_of(process_ids) - processor_s, time.monotonic_ns() // 1000
     datagrams, exchanges = (
-        now - then for now, then in zip(await _sum_sent_counts(some), before, strict=True)
+        now - then for now, then in zip(await _sum_sent_counts(members), before, strict=True)
     )
-    sizes = [sizes_sent_between(folder / member.name, begun_us, ended_us) for member in some]
+    sizes = [sizes_sent_between(folder / member.name, begun_us, ended_us) for member in members]
     exchange_bytes = sum(sum(item.get(Exchange.__name__, [])) for item in sizes)
     sent_bytes = sum(sum(map(sum, item.values())) for item in sizes)
-    member_seconds = len(some) * (ended_us - begun_us) / 1e6
+    member_seconds = len(members) * (ended_us - begun_us) / 1e6
     figures = {
         "real_member_second_datagrams": datagrams / member_seconds,
         "real_member_second_datagram_bytes": (sent_bytes - exchange_bytes) / member_seconds,
         "real_member_second_exchanges": exchanges / member_seconds,
         "real_member_second_exchange_bytes": exchange_bytes / member_seconds,
         "real_member_second_sent_bytes": sent_bytes / member_seconds,
-        "real_member_second_processor_microseconds": 1e6 * used_s / member_seconds,
-        "real_member_resident_bytes": sum(map(resident_bytes_of, processes)) / len(some),
+        "real_member_second_processor_microseconds": 1e6 * processor_s / member_seconds,
+        "real_member_resident_bytes": sum(map(resident_bytes_of, process_ids)) / len(members),
     }
     return [Reading(name, value, Source.TIMED) for name, value in figures.items()]
 
