--- a/fleetlab/scale/subjects/real_watchers.py
+++ b/fleetlab/scale/subjects/real_watchers.py
@@ -1,6 +1,6 @@
-"""Real relays' processes on the hollow directory: whether hollow watchers tell the truth about its counts.
+"""Real relay processes on the simulated directory, to check its counts with simulated watchers.
 
-The steps and the figures are those of ``watchers``; a relay has returned once its watch is answered.
+The steps and the figures are those of ``watchers``. A relay has returned once its watch is answered.
 """
 
 from __future__ import annotations
@@ -32,12 +32,15 @@
 
 
 class RealFleet(WatcherFleet):
-    """A hollow directory that real relays watch; only it is asked what they have."""
+    """A simulated directory that real relays watch; only the directory is asked for their progress."""
 
     def wait_until_reached(self) -> float:
-        """Wait until each relay's watch is open; what is written there is on its way."""
-        by_s = time.monotonic() + REACH_TIMEOUT_S
-        while time.monotonic() < by_s:
+        """Wait until each relay's watch is open; lines written to it are not waited for.
+
+        Returns the monotonic time of that; ``ScaleError`` after ``REACH_TIMEOUT_S``.
+        """
+        deadline_s = time.monotonic() + REACH_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             if (open_watches := self._directory.request(ReadCounts()).open_watches) == self._size:
                 return time.monotonic()
             time.sleep(POLL_S)
@@ -45,7 +48,7 @@
 
 
 class RelayProcess:
-    """A real relay's process; it ends with the ``with`` block."""
+    """A real relay's process; leaving the ``with`` block kills it."""
 
     def __init__(self, folder: Path, directory_port: int, log: IO[bytes]) -> None:
         folder.mkdir()
@@ -58,27 +61,27 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._process.kill()  # it owes nobody anything, and its folder goes too
+        self._process.kill()  # it holds no messages, and its folder is deleted too
         self._process.wait()
 
 
 def measure(
-    size: int, seed: int, listed: int = LIST_SIZE, down_s: float = DOWN_S, whole: bool = True
+    size: int, seed: int, list_size: int = LIST_SIZE, down_s: float = DOWN_S, whole: bool = True
 ) -> list[Reading]:
-    """Tell changes to real relays, then have them return, and where ``whole`` again by the whole list."""
+    """Measure changes, and the return of real relays by version; with ``whole`` also by the whole list."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="scale-")))
         log = stack.enter_context((folder / "log").open("wb"))
-        directory = stack.enter_context(start_directory(listed, seed))
+        directory = stack.enter_context(start_directory(list_size, seed))
         port = directory.request(ReadCounts()).port
         for number in range(size):
             stack.enter_context(RelayProcess(folder / str(number), port, log))
-        fleet = RealFleet(directory, [], size, listed)
+        fleet = RealFleet(directory, [], size, list_size)
         fleet.wait_until_reached()
         changes = [fleet.measure_until_reached(None) for _ in range(CHANGE_COUNT)]
         readings = [
-            Reading("real_change_lines", sum(reach.lines for reach in changes) / CHANGE_COUNT),
-            Reading("real_change_bytes", sum(reach.line_bytes for reach in changes) / CHANGE_COUNT),
+            Reading("real_change_lines", sum(cost.lines for cost in changes) / CHANGE_COUNT),
+            Reading("real_change_bytes", sum(cost.line_bytes for cost in changes) / CHANGE_COUNT),
         ]
         fleet.take_directory_down(down_s)
         readings += return_readings("resumed", fleet.measure_until_reached(BringUp(resumes=True)))
@@ -88,13 +91,13 @@
         return readings
 
 
-def return_readings(how: str, reach: ReachCost) -> list[Reading]:
-    """The figures of a return of all."""
+def return_readings(how: str, cost: ReachCost) -> list[Reading]:
+    """The figures of the return of all relays."""
     return [
-        Reading(f"real_return_{how}_watches", float(reach.watches)),
-        Reading(f"real_return_{how}_lines", float(reach.lines)),
-        Reading(f"real_return_{how}_bytes", float(reach.line_bytes)),
-        Reading(f"real_return_{how}_seconds", reach.seconds, Source.TIMED),
+        Reading(f"real_return_{how}_watches", float(cost.watches)),
+        Reading(f"real_return_{how}_lines", float(cost.lines)),
+        Reading(f"real_return_{how}_bytes", float(cost.line_bytes)),
+        Reading(f"real_return_{how}_seconds", cost.seconds, Source.TIMED),
     ]
 
 
