--- a/fleetlab/scale/subjects/replacement.py
+++ b/fleetlab/scale/subjects/replacement.py
@@ -1,4 +1,4 @@
-"""A relay's process is replaced by the next one: how long a client waits, by the length of the list."""
+"""A relay process is replaced by the next one: how long a client waits, by the length of the list."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from fleetlab.scale.records import Reading, ScaleError, Source
 from fleetlab.scale.subject import Subject
 
-REPLACE_TIMEOUT_S = 30.0  # s in which the next process has to serve
-POLL_S = 0.02  # s between looks whether it does
+REPLACE_TIMEOUT_S = 30.0  # for the next process to serve and the old one to exit
+POLL_S = 0.02  # between checks whether the next process serves
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """Replace a real process that knows the whole list while a client asks every 20 ms."""
+    """Replace a real process that knows the whole list while a client sends a ``PING`` every 20 ms."""
     with (
         start_directory(size, seed) as directory,
         tempfile.TemporaryDirectory(prefix="scale-") as folder,
@@ -36,33 +36,33 @@
         client = await world.start_relay()
         await _wait_until_known(world, size)
         ended = asyncio.Event()
-        questions = asyncio.create_task(measure_longest_wait_s(client, ended))
+        longest_wait = asyncio.create_task(measure_longest_wait_s(client, ended))
         begun_s = time.monotonic()
         await _replace_process(world)
         replaced_s = time.monotonic() - begun_s
         ended.set()
-        waited_s = await questions
+        longest_wait_s = await longest_wait
         known = (await world.read_figures())["endpoints_known"]
         return [
             Reading("real_known_after_endpoints", float(known)),
             Reading("real_replaced_seconds", replaced_s, Source.TIMED),
-            Reading("real_longest_client_wait_seconds", waited_s, Source.TIMED),
+            Reading("real_longest_client_wait_seconds", longest_wait_s, Source.TIMED),
         ]
     finally:
         await world.stop()
 
 
 async def _wait_until_known(world: RelayWorld, size: int) -> None:
-    """Wait for the whole list; ``ScaleError`` where it does not come within the bound."""
-    by_s = time.monotonic() + LIST_TIMEOUT_S
+    """Wait for the whole list; ``ScaleError`` after ``LIST_TIMEOUT_S``."""
+    deadline_s = time.monotonic() + LIST_TIMEOUT_S
     while (await world.read_figures())["endpoints_known"] != size:
-        if time.monotonic() > by_s:
+        if time.monotonic() > deadline_s:
             raise ScaleError(f"the list of {size} endpoints did not come within {LIST_TIMEOUT_S:.0f} s")
         await asyncio.sleep(FIGURES_POLL_S)
 
 
 async def _replace_process(world: RelayWorld) -> None:
-    """Start the next process, and wait until it serves and the old one is gone."""
+    """Start the next process, and wait until it serves and the old one has exited."""
     old, world.admin_port = world.process, world.free_port()
     assert old is not None
     async with asyncio.timeout(REPLACE_TIMEOUT_S):
@@ -73,7 +73,7 @@
 
 
 async def _is_serving(world: RelayWorld) -> bool:
-    """Whether the present process answers operators and takes clients."""
+    """Whether the current process answers operators and accepts clients."""
     with contextlib.suppress(OSError):
         return (await world.operator_call("GET", "health"))[0] == 200
     return False
