--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -1,4 +1,4 @@
-"""The real process of a relay, started over a journal that holds a backlog."""
+"""A real relay process that is started from a journal with a backlog."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 from relay.resource_usage import read_memory_bytes
 from standins.scripted import Client, World, no_answer, settings_json
 
-SILENT_ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
+# Endpoints that are listed and never answer; the other destinations have no endpoint.
+SILENT_ENDPOINTS = 20
 SLOTS = 64
-SPARE_OPEN_MESSAGES = 1_000  # messages that the relay may hold beside the backlog
-MIN_MEMORY_MB = 32
+SPARE_OPEN_MESSAGES = 1_000  # messages that the relay may hold beyond the backlog
+MIN_MEMORY_MB = 32  # of a relay without messages
 BYTES_PER_MESSAGE = 8_000  # upper estimate of memory: the relay and the process that measures
 BYTES_PER_MB = 1_000_000
-ANSWER_TIMEOUT_S = 90.0  # for the first answer
-POLL_S = 0.01
+ANSWER_TIMEOUT_S = 90.0  # for the first answer to a client
+POLL_S = 0.01  # between attempts to connect
 
 
 def class_json() -> dict[str, Any]:
-    """The class of the backlog, as a deployment tells it."""
+    """The message class of the backlog, in the format of the settings."""
     return {
         "name": SEAT_STATUS.name,
         "effect": SEAT_STATUS.effect.value,
@@ -42,18 +43,18 @@
     }
 
 
-def configure(world: World, messages: int, disk: int) -> None:
-    """Limits with room for the backlog and little more."""
+def configure(world: World, messages: int, disk_bytes: int) -> None:
+    """Set limits that are hardly larger than the backlog needs."""
     world.settings = settings_json(open_cap=messages + SPARE_OPEN_MESSAGES)
     world.settings["request_classes"] = [class_json()]
     world.settings["domain"] |= {"calls_out": SLOTS}
-    world.disk_mb = disk / BYTES_PER_MB
+    world.disk_mb = disk_bytes / BYTES_PER_MB
     world.memory_mb = MIN_MEMORY_MB + int(messages * BODY_BYTES / HELD_BODIES_MEMORY_SHARE / BYTES_PER_MB)
     world.admin_port = world.free_port()
 
 
 async def wait_for_answer(world: World) -> Client:
-    """A client, once the relay has answered it."""
+    """Connect until the relay answers a ``PING``; return the client."""
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
         while True:
             try:
@@ -66,7 +67,7 @@
 
 
 async def measure_restart(folder: Path, size: int, seed: int) -> list[Reading]:
-    """Write the journal as the relay would, start the relay over it, and ask it."""
+    """Write the journal as a relay would, start a relay from it, and read its figures."""
     world = World(folder)
     await world.start()
     try:
@@ -81,13 +82,13 @@
         process = await world.spawn()
         await wait_for_answer(world)
         pong_s = time.monotonic() - begun_s
-        held = (await world.read_figures())["in_flight"]
+        held_messages = (await world.read_figures())["in_flight"]
         memory = read_memory_bytes(Path(f"/proc/{process.pid}"))
     finally:
         await world.stop()
     return [
         Reading("real_journal_bytes", journal.written_bytes),
-        Reading("real_held_messages", held),
+        Reading("real_held_messages", held_messages),
         Reading("real_pong_seconds", pong_s, Source.TIMED),
         Reading("real_peak_bytes", memory["VmHWM"], Source.TIMED),
         Reading("real_resident_bytes", memory["VmRSS"], Source.TIMED),
@@ -95,7 +96,7 @@
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """One restart in a folder of its own."""
+    """Measure one restart in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="replay-") as folder:
         return asyncio.run(measure_restart(Path(folder), size, seed))
 
