--- a/fleetlab/scale/worker.py
+++ b/fleetlab/scale/worker.py
@@ -16,7 +16,7 @@
 
 
 def measure_in_process(subject: Subject, size: int, seed: int) -> Sample:
-    """Measure in a new process; ``ScaleError`` if it fails or exceeds its time, in which case it is killed."""
+    """Measure in a new process; ``ScaleError`` if it fails, or is killed because it exceeds its time."""
     command = [sys.executable, "-m", "fleetlab.scale.worker", subject.name, str(size), str(seed)]
     try:
         done = subprocess.run(command, capture_output=True, timeout=subject.timeout_s, check=False)
