--- a/fleetlab/scale/subjects/lease_holders_processes.py
+++ b/fleetlab/scale/subjects/lease_holders_processes.py
@@ -115,8 +115,7 @@
     resident = resident_bytes_of(process_id)
     copied = await ask_member((host, PORT), wire.Copy(1))
     assert isinstance(copied, wire.Copied)
-    leases = after["quorum_leases"]
-    load_figures = [_read_last_figures(folder) for folder in load_folders]
+    leases, load_figures = after["quorum_leases"], [_read_last_figures(folder) for folder in load_folders]
     growth = {name: value - before.get(name, 0) for name, value in after.items()}
     figures = {
         "real_renewals_per_second": growth.get(RENEWALS_METRIC, 0) / seconds,
