--- a/tests/scale/test_framework.py
+++ b/tests/scale/test_framework.py
@@ -1,4 +1,4 @@
-"""The scale command itself: fits, bounds on sizes, reports, and growth that is told from its readings."""
+"""The scale command itself: fits, limits of sizes, reports, and the exponent of growth."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def scale(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the command."""
+    """Run the scale command."""
     command = [sys.executable, "-m", "fleetlab", "scale", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
 
 
-def test_a_line_is_found_with_its_error_and_its_value_at_the_target() -> None:
+def test_a_line_is_fitted_with_its_error_and_its_value_at_the_target() -> None:
     points = [(size, 7.0 + 3.0 * size) for size in SIZES]
     fit = fit_line("some_bytes", Source.COUNT, points, target=8000)
     assert fit.slope == pytest.approx(3)
@@ -36,20 +36,20 @@
     assert fit.error < 1e-9
 
 
-def test_a_reading_at_the_target_counts_in_place_of_the_fit() -> None:
+def test_a_reading_at_the_target_is_used_in_place_of_the_fit() -> None:
     fit = fit_line("some_bytes", Source.COUNT, [(10, 10.0), (20, 20.0), (30, 99.0)], target=30)
     assert fit.at_target == 99
     assert fit.extrapolated_by == 1
 
 
 @pytest.mark.parametrize("power", [0, 1, 2])
-def test_growth_is_told_from_readings_with_a_constant_part(power: int) -> None:
-    """A planted quadratic cannot pass for a line."""
+def test_the_exponent_of_growth_is_found_despite_a_constant_part(power: int) -> None:
+    """Quadratic growth cannot be taken for linear growth."""
     points = [(size, 5.0 + float(size**power)) for size in SIZES]
     assert growth_exponent(points) == pytest.approx(power, abs=0.1)
 
 
-def test_a_figure_that_is_always_zero_has_no_growth() -> None:
+def test_a_figure_that_is_always_zero_has_exponent_0() -> None:
     assert growth_exponent([(size, 0.0) for size in SIZES]) == 0
 
 
@@ -87,7 +87,7 @@
         (["endpoint-list", "--against", "/nowhere"], "--against: /nowhere"),
     ],
 )
-def test_wrong_use_is_one_line_and_2(arguments: list[str], reason: str) -> None:
+def test_wrong_usage_prints_one_line_and_exits_with_2(arguments: list[str], reason: str) -> None:
     done = scale(*arguments)
     assert done.returncode == 2
     assert reason in done.stderr
@@ -95,7 +95,7 @@
     assert done.stdout == ""
 
 
-def test_a_report_is_json_with_the_same_counts_each_time_and_a_picture(tmp_path: Path) -> None:
+def test_a_report_is_written_as_json_and_plot_and_can_be_compared(tmp_path: Path) -> None:
     done = scale("endpoint-list", "--sizes", "20,40", "--json", "--plot", str(tmp_path / "growth.png"))
     report = json.loads(done.stdout)
     assert done.returncode == 0
