--- a/tests/scale/test_lease_holders.py
+++ b/tests/scale/test_lease_holders.py
@@ -1,4 +1,4 @@
-"""What renewals cost a quorum's leader by the number of holders, at small sizes; planted growth is found."""
+"""The cost of renewals for a quorum's leader at small sizes; planted growth is detected."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 SEED = 1
 SIZES = (10, 20, 40, 60)
-CONSTANT = 0.25  # most exponent of what a renewal may cost, by the number of holders
+# Largest exponent of the growth of a renewal's cost with the number of holders that counts as none.
+MAX_CONSTANT_EXPONENT = 0.25
 
 
 class WritesStateEachTime(Member):
-    """A planted quadratic: the whole state is written at each entry."""
+    """A planted quadratic cost: each committed entry has the whole state written."""
 
     def _committed(self, action: Committed) -> None:
         super()._committed(action)
@@ -25,7 +26,7 @@
 
 
 def counts(size: int, member: type[Member] = Member) -> dict[str, float]:
-    """The counts of so many holders."""
+    """The counts measured with ``size`` holders."""
     quorum = SimulatedQuorum(SEED, member)
     quorum.run(ELECT_S)
     quorum.add_holders(size)
@@ -34,9 +35,11 @@
 
 
 def growth(figure: str, member: type[Member] = Member) -> float:
-    """The power of the number of holders by which a figure grows for each renewal."""
-    found = [(size, counts(size, member)) for size in SIZES]
-    return growth_exponent([(size, some[figure] / some["renewals_per_second"]) for size, some in found])
+    """The exponent of a figure's growth for each renewal, by the number of holders."""
+    counts_by_size = [(size, counts(size, member)) for size in SIZES]
+    return growth_exponent(
+        [(size, found[figure] / found["renewals_per_second"]) for size, found in counts_by_size]
+    )
 
 
 @pytest.mark.parametrize("size", [SIZES[0], SIZES[-1]])
@@ -58,13 +61,15 @@
         "leader_log_out_second_frames",
     ],
 )
-def test_a_renewal_does_not_cost_more_where_there_are_more_holders(figure: str) -> None:
-    assert growth(figure) < CONSTANT
+def test_a_renewal_does_not_cost_more_with_more_holders(figure: str) -> None:
+    assert growth(figure) < MAX_CONSTANT_EXPONENT
 
 
-def test_a_state_that_is_written_at_each_renewal_is_found() -> None:
-    assert growth("leader_log_out_second_bytes", WritesStateEachTime) > CONSTANT
+def test_a_state_that_is_written_at_each_renewal_is_detected() -> None:
+    assert growth("leader_log_out_second_bytes", WritesStateEachTime) > MAX_CONSTANT_EXPONENT
 
 
-def test_a_lease_takes_as_much_of_the_state_at_each_size() -> None:
-    assert growth_exponent([(size, counts(size)["lease_state_bytes"]) for size in SIZES]) < CONSTANT
+def test_a_lease_takes_the_same_share_of_the_state_at_each_size() -> None:
+    assert (
+        growth_exponent([(size, counts(size)["lease_state_bytes"]) for size in SIZES]) < MAX_CONSTANT_EXPONENT
+    )
