--- a/fleetlab/scale/traffic.py
+++ b/fleetlab/scale/traffic.py
@@ -243,9 +243,8 @@
         self._end_call(action.id, action.attempt, host, Verdict.CANCELLED)
 
     def _end_call(self, name: str, attempt: int, host: str, verdict: Verdict) -> None:
-        if (
-            begun_us := self._call_starts_us.pop((name, attempt), None)
-        ) is None:  # the call was cancelled before
+        # A call that was cancelled before has ended already.
+        if (begun_us := self._call_starts_us.pop((name, attempt), None)) is None:
             return
         now_us, served = self._simulation.now_us, verdict is Verdict.OK
         if self._destinations.is_down(host, begun_us):
