--- a/fleetlab/checks/judgement.py
+++ b/fleetlab/checks/judgement.py
@@ -1,4 +1,4 @@
-"""All checkers by name, and the result of a history by them."""
+"""The table of all checkers by name, and the result of a run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     one_out,
     own_destination,
 )
-from fleetlab.checks.counts import collect_figures, count_outcomes, recover_s, worth_share
+from fleetlab.checks.counts import collect_figures, count_outcomes, recovery_time_s, worth_share
 from fleetlab.checks.destinations import cold_spared, drained, waits_kept
 from fleetlab.checks.endings import ended_once, in_time, untried_kept
 from fleetlab.checks.finding import Check, Finding
@@ -23,7 +23,8 @@
 from fleetlab.checks.processes import answered, calls_let_go, no_crash, ready_soon, served_to_the_end
 from fleetlab.checks.run import Run
 
-INVALID_LAG_S = 0.25  # a lab that came later than this may have made what it reports
+# If the lab's own event loop was later than this (s), it may itself have caused what the checkers report.
+INVALID_LAG_S = 0.25
 
 Checker = Callable[[Run], list[Finding]]
 
@@ -52,20 +53,26 @@
 
 
 def run_checkers(run: Run) -> dict[str, list[Finding]]:
-    """All that the checkers found, by name."""
+    """Run all checkers and return their findings by name."""
     return {name: checker(run) for name, checker in CHECKERS.items()}
 
 
-def summarize_findings(found: dict[str, list[Finding]]) -> dict[str, Check]:
-    """Findings as a result tells them."""
+def summarize_findings(findings_by_check: dict[str, list[Finding]]) -> dict[str, Check]:
+    """Summarize findings for a result."""
     return {
-        name: Check(not some, len(some), f"{some[0].time_s:.3f} s: {some[0].text}" if some else "")
-        for name, some in found.items()
+        name: Check(
+            not findings, len(findings), f"{findings[0].time_s:.3f} s: {findings[0].text}" if findings else ""
+        )
+        for name, findings in findings_by_check.items()
     }
 
 
 class Result(msgspec.Struct, frozen=True):
-    """``result.json``: whether all checks hold, and the counts."""
+    """Contents of ``result.json``.
+
+    ``valid`` is false if the lab itself was too late for its findings to count. ``worth`` is the share of the
+    worth that was delivered within the aim. Times are in seconds; ``recovery_time_s`` gives ``recover_s``.
+    """
 
     scenario: str
     seed: int
@@ -80,20 +87,20 @@
     relays_cpu_s: float
     relays: int
     worth: float
-    figures: dict[str, dict[str, float]] = {}  # what programs measured, and how leases passed over
+    figures: dict[str, dict[str, float]] = {}  # by process, see collect_figures
 
 
 def judge_run(run: Run, name: str) -> tuple[Result, dict[str, list[Finding]]]:
-    """The result of a history."""
-    found = run_checkers(run)
-    checks = summarize_findings(found)
-    relays = [used.cpu_s for key, used in run.usage_by_process.items() if key != "lab"]
-    lab = run.usage_by_process.get("lab")
+    """Check a run and return its result and all findings; ``name`` is the scenario's name."""
+    findings = run_checkers(run)
+    checks = summarize_findings(findings)
+    relay_cpu_s = [used.cpu_s for key, used in run.usage_by_process.items() if key != "lab"]
+    lab_usage = run.usage_by_process.get("lab")
     result = Result(
         scenario=name, seed=run.head.seed, ok=all(check.ok for check in checks.values()),
-        valid=run.max_lag_s <= INVALID_LAG_S, checks=checks, counts=count_outcomes(run, found),
-        seconds=round(run.end_s, 3), recover_s=recover_s(run), lab_late_s=round(run.max_lag_s, 4),
-        lab_cpu_s=lab.cpu_s if lab else 0.0, relays_cpu_s=round(sum(relays), 3),
+        valid=run.max_lag_s <= INVALID_LAG_S, checks=checks, counts=count_outcomes(run, findings),
+        seconds=round(run.end_s, 3), recover_s=recovery_time_s(run), lab_late_s=round(run.max_lag_s, 4),
+        lab_cpu_s=lab_usage.cpu_s if lab_usage else 0.0, relays_cpu_s=round(sum(relay_cpu_s), 3),
         relays=len(run.head.relays), worth=round(worth_share(run), 4), figures=collect_figures(run),
     )  # fmt: skip
-    return result, found
+    return result, findings
