--- a/fleetlab/checks/destinations.py
+++ b/fleetlab/checks/destinations.py
@@ -1,4 +1,4 @@
-"""Checkers of how relays treat destinations that drain, ask to wait or come back cold."""
+"""Checkers of how relays treat destinations that drain, ask callers to wait, or come back cold."""
 
 from __future__ import annotations
 
@@ -11,38 +11,45 @@
 from fleetlab.checks.run import Run
 from standins.partner import DestinationSpec
 
-WAIT_SLACK_S = 0.1  # after a wait is written, in which calls are let through
+# A call that begins within this time (s) after an endpoint wrote a wait may have been sent before it came.
+WAIT_SLACK_S = 0.1
 
 
 def drained(run: Run) -> list[Finding]:
-    """No new work to an endpoint later than the grace after it was told, or counts as told, to drain."""
-    grace_s, found = run.scenario.drain_grace_s + SOCKET_SLACK_S, []
-    lists = {
+    """No call to an endpoint begins later than the grace after its relay was told that the endpoint drains.
+
+    A relay also counts as told some time after the change, see ``SILENCE_COUNTS_AS_TOLD_S``.
+    """
+    grace_s, findings = run.scenario.drain_grace_s + SOCKET_SLACK_S, []
+    updates_by_relay_and_host = {
         (relay, host): run.serving_updates(relay, host)
         for relay in run.head.relays
         for host in {host for change in run.list_changes for host in change.hosts}
     }
     for attempt in run.attempts:
-        told = lists.get((attempt.relay, attempt.host))
-        if not told:
+        updates = updates_by_relay_and_host.get((attempt.relay, attempt.host))
+        if not updates:
             continue
-        at = bisect.bisect([t for t, _ in told], attempt.started_s)
-        since = None
-        for t, serving in told[:at]:
-            since = None if serving else (t if since is None else since)
-        if since is not None and attempt.started_s > since + grace_s:
-            late_s = attempt.started_s - since
-            found.append(
+        count = bisect.bisect([t for t, _ in updates], attempt.started_s)
+        drained_since_s = None
+        for t, serving in updates[:count]:
+            drained_since_s = None if serving else (t if drained_since_s is None else drained_since_s)
+        if drained_since_s is not None and attempt.started_s > drained_since_s + grace_s:
+            late_s = attempt.started_s - drained_since_s
+            findings.append(
                 Finding(
                     attempt.started_s, f"{attempt.ref} to {attempt.host} {late_s:.2f} s after it was told"
                 )
             )
-    return found
+    return findings
 
 
 def waits_kept(run: Run) -> list[Finding]:
-    """Told to wait, a relay sends nothing to that destination until then; a restart ends the wait."""
-    found = []
+    """A relay that was told to wait sends nothing to that destination before the wait ends.
+
+    A restart of the relay ends the wait.
+    """
+    findings = []
     waits: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
     for reply in run.replies:
         if reply.wait_ms:
@@ -50,66 +57,74 @@
                 (reply.t, reply.t + reply.wait_ms / 1000)
             )
     for attempt in run.attempts:
-        for told, until in waits.get((attempt.relay, run.head.endpoints[attempt.host]), ()):
-            if told + WAIT_SLACK_S < attempt.started_s < until - 0.001 and not was_restarted(
-                run, attempt.relay, told, attempt.started_s
+        for told_s, until_s in waits.get((attempt.relay, run.head.endpoints[attempt.host]), ()):
+            if told_s + WAIT_SLACK_S < attempt.started_s < until_s - 0.001 and not was_restarted(
+                run, attempt.relay, told_s, attempt.started_s
             ):
-                left_ms = (until - attempt.started_s) * 1000
-                found.append(
+                left_ms = (until_s - attempt.started_s) * 1000
+                findings.append(
                     Finding(
                         attempt.started_s, f"{attempt.relay} called {attempt.host} {left_ms:.0f} ms too early"
                     )
                 )
                 break
-    return found
+    return findings
 
 
 def cold_spared(run: Run) -> list[Finding]:
-    """A partner that comes back cold does not fall over under relays that had been told of its outage.
+    """A partner that comes back cold is not overloaded by relays that knew of its outage.
 
-    As the page says, the rule is broken if two thirds of the pushes came from relays to which a call or
-    probe there had failed or been refused during the outage.
+    As the protocol's page says, the rule is broken if two thirds of the calls and probes that overloaded it
+    came from relays to which a call or probe there had failed or been refused during the outage.
     """
-    found = []
+    findings = []
     for state in run.partner_states:
         if state.state != "fallen":
             continue
         dest = run.head.endpoints[state.host]
-        span = (state.t - destination_spec(run, dest).fall_s, state.t)
-        pushes = [
+        window_s = (state.t - destination_spec(run, dest).fall_s, state.t)
+        callers = [
             a.relay
             for a in run.attempts
-            if run.head.endpoints[a.host] == dest and span[0] <= a.arrived_s <= span[1]
+            if run.head.endpoints[a.host] == dest and window_s[0] <= a.arrived_s <= window_s[1]
         ]
-        pushes += [
-            p.relay for p in run.probes if run.head.endpoints[p.host] == dest and span[0] <= p.t <= span[1]
+        callers += [
+            p.relay
+            for p in run.probes
+            if run.head.endpoints[p.host] == dest and window_s[0] <= p.t <= window_s[1]
         ]
-        known = relays_told_of_outage(run, dest, state.t)
-        told = sum(relay in known for relay in pushes)
-        if pushes and told * 3 >= len(pushes) * 2:
-            found.append(
-                Finding(state.t, f"{state.host} fell over: {told} of {len(pushes)} by relays that knew")
+        relays_that_knew = relays_told_of_outage(run, dest, state.t)
+        calls_that_knew = sum(relay in relays_that_knew for relay in callers)
+        if callers and calls_that_knew * 3 >= len(callers) * 2:
+            findings.append(
+                Finding(
+                    state.t,
+                    f"{state.host} fell over: {calls_that_knew} of {len(callers)} by relays that knew",
+                )
             )
-    return found
+    return findings
 
 
 def destination_spec(run: Run, dest: int) -> DestinationSpec:
-    """A destination's figures."""
+    """Return the specification of a destination."""
     return next(partner for partner in run.scenario.partners if partner.dest == dest)
 
 
 def relays_told_of_outage(run: Run, dest: int, t: float) -> set[str]:
-    """Relays whose call there was out when it went down, failed or was refused since."""
-    downs = [
+    """Return the relays that had a call to a destination that ended without delivery since it last went down.
+
+    That includes calls that were open when it went down. ``t`` is the time (s) up to which calls count.
+    """
+    down_times = [
         s.t
         for s in run.partner_states
         if s.state in ("down", "fallen") and s.t < t and run.head.endpoints[s.host] == dest
     ]
-    if not downs:
+    if not down_times:
         return set()
     return {
         attempt.relay
         for attempt in run.attempts
-        if run.head.endpoints[attempt.host] == dest and downs[-1] <= min(attempt.finished_s, t) and attempt.arrived_s < t
-        and attempt.outcome != "delivered"
+        if run.head.endpoints[attempt.host] == dest and down_times[-1] <= min(attempt.finished_s, t)
+        and attempt.arrived_s < t and attempt.outcome != "delivered"
     }  # fmt: skip
