--- a/fleetlab/checks/endings.py
+++ b/fleetlab/checks/endings.py
@@ -14,125 +14,137 @@
 from fleetlab.checks.message import MessageTrace
 from fleetlab.checks.run import RESTART_SLACK_S, Run
 
-EARLY_SHARE = 0.9  # of a message's time: one given up before has been given up early
+# A message that is ended before this share of its time is over was given up early.
+EARLY_SHARE = 0.9
 
 
 def ended_once(run: Run) -> list[Finding]:
-    """Each message that was taken on gets an end, and no second end of another kind.
+    """Each accepted message ends, and ends in one way only.
 
-    A notice that says the same once more is a repeat that was not confirmed. A notice beside a delivery is
-    one end too many only where the delivery's answer could reach the same life of the relay before.
+    A second notice with the same result is allowed: the relay repeats a notice that was not confirmed. A
+    notice for a delivered message is a violation only where the answer of the delivery could reach the same
+    life of the relay before.
     """
-    found = []
+    findings = []
     for ref, trace in run.traces.items():
         if not trace.accepted:
             continue
         if trace.ended_s is None and trace.deadline_s + END_SLACK_S < run.end_s:
-            found.append(
+            findings.append(
                 Finding(trace.deadline_s, f"{ref} of {trace.submission.relay} was taken and never ended")
             )
         results = {notice.result for notice in trace.notices}
-        if (again := notice_after_delivery_s(run, trace)) is not None:
-            found.append(
+        if (notice_s := notice_after_delivery_s(run, trace)) is not None:
+            findings.append(
                 Finding(
-                    again, f"{ref} of {trace.submission.relay} was delivered, and noticed as dead after it"
+                    notice_s, f"{ref} of {trace.submission.relay} was delivered, and noticed as dead after it"
                 )
             )
         if len(results) > 1:
-            found.append(
+            findings.append(
                 Finding(trace.notices[-1].t, f"{ref} was noticed as {' and '.join(sorted(results))}")
             )
-    return found
+    return findings
 
 
 def notice_after_delivery_s(run: Run, trace: MessageTrace) -> float | None:
-    """When a notice came for a message whose delivery its relay had been told of, undisturbed in between.
+    """Return when a notice came for a message although its relay had the answer of a delivery, or None.
 
-    An answer that is written as the relay's own time for the call, or the message's, is up may cross its
-    giving up. One that is written right before its endpoint goes down goes with the connection.
+    The answer may not have reached the relay, and None is returned, if it was written when the relay's time
+    limit for the call or the message's deadline was up (the relay may have given up meanwhile), if its
+    endpoint went down right after it, or if a fault disturbed the relay between answer and notice.
     """
-    delivered = trace.delivered_s
-    if delivered is not None and delivered >= trace.deadline_s - SOCKET_SLACK_S:
+    delivered_s = trace.delivered_s
+    if delivered_s is not None and delivered_s >= trace.deadline_s - SOCKET_SLACK_S:
         return None
     for attempt in trace.attempts:
-        up = attempt.arrived_s + attempt.relay_timeout_s - SOCKET_SLACK_S
-        if attempt.outcome == "delivered" and attempt.relay_timeout_s and attempt.finished_s >= up:
+        time_up_s = attempt.arrived_s + attempt.relay_timeout_s - SOCKET_SLACK_S
+        if attempt.outcome == "delivered" and attempt.relay_timeout_s and attempt.finished_s >= time_up_s:
             return None
         if attempt.outcome == "delivered" and endpoint_went_down(
             run, attempt.host, attempt.finished_s, attempt.finished_s + SOCKET_SLACK_S
         ):
             return None
-    later = [notice.t for notice in trace.notices if delivered is not None and notice.t > delivered]
+    later_notices = [
+        notice.t for notice in trace.notices if delivered_s is not None and notice.t > delivered_s
+    ]
     if (
-        delivered is None
-        or not later
-        or was_disturbed(run, trace.submission.relay, delivered - 0.5, later[0])
+        delivered_s is None
+        or not later_notices
+        or was_disturbed(run, trace.submission.relay, delivered_s - 0.5, later_notices[0])
     ):
         return None
-    return later[0]
+    return later_notices[0]
 
 
 def in_time(run: Run) -> list[Finding]:
-    """An end comes within 300 ms of its time, but for a restart of its relay or a cut from the platform."""
-    found = []
+    """Accepted messages end within 300 ms of their deadline.
+
+    Excepted is what a restart of the relay, or a cut between it and the platform, delays.
+    """
+    findings = []
     for ref, trace in run.traces.items():
-        ended = trace.ended_s
-        if not trace.accepted or ended is None:
+        ended_s = trace.ended_s
+        if not trace.accepted or ended_s is None:
             continue
-        late_s = ended - trace.deadline_s
-        if late_s > END_SLACK_S and not is_lateness_excused(run, trace, ended):
-            found.append(
-                Finding(ended, f"{ref} of {trace.submission.relay} ended {late_s * 1000:.0f} ms late")
+        late_s = ended_s - trace.deadline_s
+        if late_s > END_SLACK_S and not is_lateness_excused(run, trace, ended_s):
+            findings.append(
+                Finding(ended_s, f"{ref} of {trace.submission.relay} ended {late_s * 1000:.0f} ms late")
             )
-    return found
+    return findings
 
 
-def is_lateness_excused(run: Run, trace: MessageTrace, ended: float) -> bool:
-    """Whether it ended soon after its relay was ready again, or reached the platform again.
+def is_lateness_excused(run: Run, trace: MessageTrace, ended_s: float) -> bool:
+    """Return whether a message ended soon after its relay was ready again, or reached the platform again.
 
-    What puts the end off may be followed at once by more of the kind, as a restart by a kill or a cut.
+    Such delays may follow each other without a gap, for example a restart that a kill or a cut follows.
     """
-    due, relay = trace.deadline_s + END_SLACK_S, trace.submission.relay
-    while ended > due:
-        ready = run.restart_ready_s(relay, due)
-        put_off = [] if ready is None else [ready]
-        put_off += [until for since, until in platform_cut_spans(run, relay) if since <= due]
-        later = max(put_off, default=0.0) + RESTART_SLACK_S
-        if later <= due:
+    due_s, relay = trace.deadline_s + END_SLACK_S, trace.submission.relay
+    while ended_s > due_s:
+        ready = run.restart_ready_s(relay, due_s)
+        delayed_until = [] if ready is None else [ready]
+        delayed_until += [until for since, until in platform_cut_spans(run, relay) if since <= due_s]
+        next_due_s = max(delayed_until, default=0.0) + RESTART_SLACK_S
+        if next_due_s <= due_s:
             return False
-        due = later
+        due_s = next_due_s
     return True
 
 
 def untried_at_restart(run: Run) -> list[MessageTrace]:
-    """What restarts found untried, with half of its time left.
+    """Return the messages that no call was made for before a restart, and that had half of their time left.
 
-    A refused connection is a try that no endpoint sees: messages for a partner that was down do not count.
+    Messages for a destination that was down do not count: a refused connection is an attempt that no endpoint
+    sees.
     """
-    found = []
+    untried = []
     for trace in run.traces.values():
-        restart, ended, half_s = (
+        restart, ended_s, half_s = (
             first_restart_after_acceptance(run, trace),
             trace.ended_s,
             trace.time_at_share(0.5),
         )
-        if restart is None or restart.ready_s > half_s or (ended is not None and ended < restart.end_s):
+        if restart is None or restart.ready_s > half_s or (ended_s is not None and ended_s < restart.end_s):
             continue
         tried = any(attempt.arrived_s < restart.end_s for attempt in trace.attempts)
-        until = min(trace.time_at_share(EARLY_SHARE), ended or half_s)
-        if not tried and not destination_was_down(run, trace.submission.dest, trace.submission.t, until):
-            found.append(trace)
-    return found
+        until_s = min(trace.time_at_share(EARLY_SHARE), ended_s or half_s)
+        if not tried and not destination_was_down(run, trace.submission.dest, trace.submission.t, until_s):
+            untried.append(trace)
+    return untried
 
 
 def untried_kept(run: Run) -> list[Finding]:
-    """What restarts find untried, with half of its time left, is not mostly given up early with no call."""
-    found = untried_at_restart(run)
+    """Of the messages that a restart finds untried, at most half are given up early without a call.
+
+    See ``untried_at_restart`` for which messages these are.
+    """
+    untried = untried_at_restart(run)
     given_up = [
-        Finding(ended, f"{trace.submission.ref} of {trace.submission.relay} was found untried and given up")
-        for trace in found
-        if (ended := trace.ended_s) is not None
-        and ended < trace.time_at_share(EARLY_SHARE)
+        Finding(ended_s, f"{trace.submission.ref} of {trace.submission.relay} was found untried and given up")
+        for trace in untried
+        if (ended_s := trace.ended_s) is not None
+        and ended_s < trace.time_at_share(EARLY_SHARE)
         and not trace.attempts
     ]
-    return given_up if 2 * len(given_up) > len(found) else []
+    return given_up if 2 * len(given_up) > len(untried) else []
