--- a/fleetlab/checks/__init__.py
+++ b/fleetlab/checks/__init__.py
@@ -1,7 +1,8 @@
-"""Checkers: each reads a history alone and says what breaks one rule, so that an old run can be judged again.
+"""Checkers: each one tests a recorded history against one rule and reports the violations.
 
-The rules are those of the protocol's page, with its slack on sockets. A checker errs on the side of the
-relay only where the lab itself cannot know, and says so in its docstring.
+A checker needs nothing but the history, so that an old run can be checked again. The rules are those of the
+protocol's page, with the slack that the page allows on sockets. Where the lab itself cannot know whether a
+rule was broken, the checker decides in favour of the relay, and its docstring says so.
 """
 
 from fleetlab.checks.counts import outcome_of
@@ -20,9 +21,9 @@
     "MessageTrace",
     "Result",
     "Run",
-    "run_checkers",
+    "destination_spec",
     "judge_run",
     "one_actor",
     "outcome_of",
-    "destination_spec",
+    "run_checkers",
 ]
--- a/fleetlab/checks/finding.py
+++ b/fleetlab/checks/finding.py
@@ -1,4 +1,4 @@
-"""What a checker reports: single violations of a rule, and their summary for a result."""
+"""What a checker reports: single violations of its rule, and their summary for a result."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One break of a rule."""
+    """One violation of a rule, at a time in seconds of the run."""
 
     time_s: float
     text: str
 
 
 class Check(msgspec.Struct, frozen=True):
-    """What a checker found: ``count`` breaks, the ``first`` in words."""
+    """Summary of a checker's findings: how many there are, and the first one as text."""
 
     ok: bool
     count: int
--- a/fleetlab/checks/limits.py
+++ b/fleetlab/checks/limits.py
@@ -1,4 +1,6 @@
-"""Time limits that several checkers share: those of the protocol's page, with its slack on sockets."""
+"""Time limits of the protocol's page that several checkers share, with the slack it allows on sockets."""
 
-END_SLACK_S = 0.3  # after a message's time, in which an end still counts
-SOCKET_SLACK_S = 0.05  # by which every time limit is longer on sockets
+# A message may end this long (s) after its deadline.
+END_SLACK_S = 0.3
+# Every other time limit is longer by this much (s) where it is measured on sockets.
+SOCKET_SLACK_S = 0.05
