--- a/fleetlab/checks/run.py
+++ b/fleetlab/checks/run.py
@@ -1,4 +1,7 @@
-"""A recorded history put in order: messages, process lifetimes and faults, for checkers and reports."""
+"""An index of a recorded history: messages, lives of processes and faults, for checkers and reports.
+
+All times are in seconds of the run; those before the load are negative.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,15 @@
 from fleetlab.scenario import Scenario
 from standins import records
 
-RESTART_SLACK_S = 1.5  # after a relay is ready again, in which no notice is overdue
-SILENCE_COUNTS_AS_TOLD_S = 6.0  # after which whatever discovery has to tell counts as told
+# No notice of a relay is overdue until this long (s) after it is ready again.
+RESTART_SLACK_S = 1.5
+# A change of the endpoint list counts as told to every relay this long (s) after it was made.
+SILENCE_COUNTS_AS_TOLD_S = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSpan:
-    """A fault on one of its targets, from its beginning to its end; infinite where it lasted the run."""
+    """A fault on one of its targets; ``until_s`` is infinite if it lasted until the end of the run."""
 
     kind: str
     target: str
@@ -31,7 +36,7 @@
 
 @dataclass(slots=True)
 class Life:
-    """One life of a process."""
+    """One life of a process; times that never came are infinite."""
 
     start_s: float
     ready_s: float = float("inf")
@@ -42,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownMessage:
-    """A call or a notice with an id that no client handed in."""
+    """A call or a notice with an id that no client submitted."""
 
     time_s: float
     ref: str
@@ -50,10 +55,10 @@
 
 
 class Run:
-    """A history put in order, for the checkers and the report."""
+    """An index of a history for the checkers and the report."""
 
     def __init__(self, history: Iterable[records.AnyRecord]) -> None:
-        """Read a history; ``records.HistoryError`` where it does not begin as one."""
+        """Index a history; raise ``records.HistoryError`` if it does not begin with its head record."""
         self.records = list(history)
         if not self.records or not isinstance(self.records[0], records.Head):
             raise records.HistoryError("a history begins with its head")
@@ -69,7 +74,7 @@
         self.unsent: list[records.Unsent] = []
         self.acts: list[records.Acted] = []
         self.views: list[records.Viewed] = []
-        self.figures_by_process: dict[str, dict[str, float]] = {}  # by program; of its last life
+        self.figures_by_process: dict[str, dict[str, float]] = {}  # the last ones of each process
         self.list_updates: dict[str, list[records.Told]] = defaultdict(list)
         self.list_changes: list[records.Changed] = []
         self.lives: dict[str, list[Life]] = defaultdict(list)
@@ -130,13 +135,16 @@
                 self.usage_by_process[record.name] = record
             case records.Measured():
                 self.figures_by_process[record.name] = record.figures
-            case _ if (kept := self._list_by_record_type.get(type(record))) is not None:
-                kept.append(record)
+            case _ if (records_of_type := self._list_by_record_type.get(type(record))) is not None:
+                records_of_type.append(record)
             case _:
                 raise records.HistoryError("a second head within a history")
 
     def _add_call(self, call: records.Call) -> None:
-        """A call; one that was under way when its relay ended the connection is out no longer."""
+        """Add an attempt for each message of a call.
+
+        One that arrives after its relay has closed the connection ends when it arrives.
+        """
         for ref in call.refs:
             attempt = Attempt(ref, call.host, call.relay, call.conn, call.begun, call.t, call.limit_s)
             self.attempts.append(attempt)
@@ -156,7 +164,11 @@
             attempt.finished_s, attempt.outcome = reply.t, ends.get(attempt.ref, "")
 
     def _add_process_event(self, record: records.Process) -> None:
-        """A process that is started beside another replaces it: to everybody outside one life goes on."""
+        """Add a start, an end or the readiness of a process.
+
+        A process that is started while the one before it still runs replaces that one. Seen from outside this
+        is the same life.
+        """
         lives = self.lives[record.name]
         if record.event == "start":
             self._last_started_life[record.name] = record.life
@@ -175,12 +187,15 @@
 
     @property
     def end_s(self) -> float:
-        """When the run ended; an earlier end of the file counts where it broke off."""
+        """When the run ended; the time of the last record if the run broke off."""
         return self.phase_times.get("over", self.records[-1].t)
 
     @cached_property
     def fault_spans(self) -> list[FaultSpan]:
-        """Every fault on each of its targets: those that ended in that order, then those that lasted."""
+        """Every fault on each of its targets.
+
+        First come those that ended, in the order of their ends, then those that lasted.
+        """
         begun: dict[tuple[int, str], records.Fault] = {}
         spans = []
         for fault in self.faults:
@@ -194,45 +209,47 @@
         ]
         return spans + lasted
 
-    def max_lag_within(self, since: float, until: float) -> float:
-        """How late the lab itself came at most within a span."""
-        return max((lag.late_s for lag in self.lags if since <= lag.t <= until), default=0.0)
+    def max_lag_within(self, since_s: float, until_s: float) -> float:
+        """Return the maximal delay of the lab's own event loop in seconds within a time span."""
+        return max((lag.late_s for lag in self.lags if since_s <= lag.t <= until_s), default=0.0)
 
     def is_within_aim(self, trace: MessageTrace) -> bool:
-        """Whether a message was delivered within its class's aim."""
-        took_s = trace.latency_s
-        return took_s is not None and took_s <= self.classes[trace.submission.cls].aim_s
+        """Return whether a message was delivered within the aim of its class."""
+        latency_s = trace.latency_s
+        return latency_s is not None and latency_s <= self.classes[trace.submission.cls].aim_s
 
     def restart_ready_s(self, relay: str, t: float) -> float | None:
-        """Where a relay was down or coming up at a time: when it was ready again; infinite if never.
+        """Return when a relay that was down or starting at time ``t`` was ready again.
 
-        Of several restarts in a row the last one counts, whose end came before the first was over.
+        Return infinity if it never was, and None if the relay was not restarting at ``t``. Of several
+        restarts that follow each other without a gap the last one counts.
         """
-        lives, found = self.lives.get(relay, []), None
+        lives, ready_s = self.lives.get(relay, []), None
         for at, life in enumerate(lives):
-            following = lives[at + 1].ready_s if at + 1 < len(lives) else float("inf")
-            if life.end_s <= t and (at + 1 == len(lives) or t < following + RESTART_SLACK_S):
-                found = following
-        return found
+            next_ready_s = lives[at + 1].ready_s if at + 1 < len(lives) else float("inf")
+            if life.end_s <= t and (at + 1 == len(lives) or t < next_ready_s + RESTART_SLACK_S):
+                ready_s = next_ready_s
+        return ready_s
 
     def serving_updates(self, relay: str, host: str) -> list[tuple[float, bool]]:
-        """When a relay learnt whether it may use an endpoint, in order of time: told or counted as told.
+        """Return, in order of time, when a relay learned whether an endpoint serves, and whether it does.
 
-        What counts as told after silence says nothing to a relay that has heard of a later version by then.
+        The relay learns it from discovery, or counts as told some time after the change. A change that counts
+        as told is ignored if the relay has been told of a later version of the list by then.
         """
-        found = [
+        updates = [
             (told.t, told.seq, told.hosts.get(host, "DELETED") == "SERVING")
             for told in self.list_updates[relay]
             if host in told.hosts or told.whole
         ]
         for change in self.list_changes:
             if host in change.hosts:
-                found.append(
+                updates.append(
                     (change.t + SILENCE_COUNTS_AS_TOLD_S, change.seq, change.hosts[host] == "SERVING")
                 )
-        heard, latest = list[tuple[float, bool]](), -1
-        for t, seq, serving in sorted(found):
-            if seq >= latest:
-                latest = seq
-                heard.append((t, serving))
-        return heard
+        received, latest_seq = list[tuple[float, bool]](), -1
+        for t, seq, serving in sorted(updates):
+            if seq >= latest_seq:
+                latest_seq = seq
+                received.append((t, serving))
+        return received
