--- a/fleetlab/addresses.py
+++ b/fleetlab/addresses.py
@@ -1,22 +1,27 @@
-"""The addresses of a run: a part of the loopback network that no other run of this machine has."""
+"""The addresses of a run: a part of the loopback network that no other run on this machine uses."""
 
 from __future__ import annotations
 
 import secrets
 import socket
 
-NETS_PER_RUN, ADDRESSES_PER_NET = (
-    16,
-    250,
-)  # nets of 256 addresses that a run has, and how many of each it uses
+NETS_PER_RUN = 16  # networks of 256 addresses (127.x.y.*) that a run owns
+ADDRESSES_PER_NET = 250  # how many addresses of each network a run uses
 ADDRESSES_PER_RUN = NETS_PER_RUN * ADDRESSES_PER_NET
-CLAIM_INDEX, CLIENTS_INDEX, SERVERS_INDEX, FIRST_LINK_INDEX, FIRST_PROCESS_INDEX = 0, 1, 2, 10, 64
-LINKS_PER_ADDRESS = 16_384  # links at one address, each with a port of its own
-CLAIM_PORT = 1025  # the run that holds it owns the addresses
+
+# Indexes of addresses within a run.
+CLAIM_INDEX = 0  # the address at which the run binds CLAIM_PORT to own all of them
+CLIENTS_INDEX = 1  # where clients call from
+SERVERS_INDEX = 2  # where endpoints and agents listen
+FIRST_LINK_INDEX = 10
+FIRST_PROCESS_INDEX = 64
+
+LINKS_PER_ADDRESS = 16_384  # links that listen at one address, each on a port of its own
+CLAIM_PORT = 1025  # UDP port; the run that has bound it owns the addresses
 
 
 class Addresses:
-    """So many addresses, by their places; held until ``close``."""
+    """The addresses of one run by their indexes, reserved until ``close``."""
 
     def __init__(self) -> None:
         while True:
@@ -31,31 +36,31 @@
                 continue
             return
 
-    def address_at(self, place: int) -> str:
-        """The address at a place; ``ValueError`` where the run has none."""
-        if not 0 <= place < ADDRESSES_PER_RUN:
-            raise ValueError(f"no address at {place}: a run has {ADDRESSES_PER_RUN}")
-        net = self._first_net + place // ADDRESSES_PER_NET
-        return f"127.{net // 256}.{net % 256}.{1 + place % ADDRESSES_PER_NET}"
+    def address_at(self, index: int) -> str:
+        """Return the address with an index; raise ``ValueError`` if the run has no such index."""
+        if not 0 <= index < ADDRESSES_PER_RUN:
+            raise ValueError(f"no address has index {index}: a run has {ADDRESSES_PER_RUN} addresses")
+        net = self._first_net + index // ADDRESSES_PER_NET
+        return f"127.{net // 256}.{net % 256}.{1 + index % ADDRESSES_PER_NET}"
 
     def process_address(self, number: int) -> str:
-        """Of a process by its number: relays first, then the others."""
+        """Return the address of a process by its number; relays come first, then further processes."""
         return self.address_at(FIRST_PROCESS_INDEX + number)
 
     def link_address(self, number: int) -> str:
-        """Where a link listens, by its number; ``ValueError`` where there are too many."""
-        place = FIRST_LINK_INDEX + number // LINKS_PER_ADDRESS
-        if place >= FIRST_PROCESS_INDEX:
+        """Return where a link listens, by its number; raise ``ValueError`` if there are too many links."""
+        index = FIRST_LINK_INDEX + number // LINKS_PER_ADDRESS
+        if index >= FIRST_PROCESS_INDEX:
             raise ValueError(
                 f"a run has no more than {(FIRST_PROCESS_INDEX - FIRST_LINK_INDEX) * LINKS_PER_ADDRESS} links"
             )
-        return self.address_at(place)
+        return self.address_at(index)
 
     @property
     def first_address(self) -> str:
-        """The first of them, by which people find the run's sockets."""
+        """The first address of the run, by which a person finds its sockets."""
         return self.address_at(CLAIM_INDEX)
 
     def close(self) -> None:
-        """Let others have them."""
+        """Release the addresses for other runs."""
         self._claim_socket.close()
