--- a/fleetlab/admin_calls.py
+++ b/fleetlab/admin_calls.py
@@ -1,16 +1,19 @@
-"""Calls of an operator to a relay's address: health, and what its process costs."""
+"""Requests to a relay's operator address: its health, and what its process costs."""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import suppress
 
-CALL_TIMEOUT_S = 1.0  # s that a call waits
+CALL_TIMEOUT_S = 1.0  # s for a whole request
 COST_PREFIX = "app.cost."
 
 
 async def http_get(address: str, port: int, path: str) -> tuple[int, str]:
-    """One call's status and body; ``OSError``, ``ValueError`` or ``TimeoutError`` where none comes."""
+    """Return the status and body of a GET request.
+
+    Raise ``OSError``, ``ValueError`` or ``TimeoutError`` if no valid response comes.
+    """
     async with asyncio.timeout(CALL_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(address, port)
         try:
@@ -20,12 +23,12 @@
             writer.close()
     words = head.split(b" ", 2)
     if len(words) < 2:
-        raise ValueError(f"no answer but {head!r}")
+        raise ValueError(f"not an HTTP response: {head!r}")
     return int(words[1]), body.decode()
 
 
 async def is_healthy(address: str, port: int) -> bool:
-    """Whether a relay's health call is answered with 2xx."""
+    """Return whether a relay answers its health request with 2xx."""
     with suppress(OSError, TimeoutError, ValueError):
         status, _ = await http_get(address, port, "/admin/health")
         return 200 <= status < 300
@@ -33,7 +36,10 @@
 
 
 async def read_costs(address: str, port: int) -> dict[str, float]:
-    """The figures of a relay's ledger by name; none where it does not answer, as one without a ledger."""
+    """Return the figures of a relay's cost page by name.
+
+    Return none if the relay does not answer or has no such page.
+    """
     with suppress(OSError, TimeoutError, ValueError):
         status, body = await http_get(address, port, "/admin/cost")
         if status == 200:
