--- a/fleetlab/echo_program.py
+++ b/fleetlab/echo_program.py
@@ -1,8 +1,7 @@
-"""The lab's plain program, ``python -m fleetlab.echo_program CONFIG``: processes that ask each other,
-to try links.
+"""Processes that call each other to test links, ``python -m fleetlab.echo_program CONFIG``.
 
-Each listens at its address, asks every other ten times a second over a new connection, and notes when it
-was answered, one line of JSON an answer, in ``heard.jsonl`` in its state folder.
+Each process listens at its address and calls every other one ten times a second over a new connection. For
+each answer it writes a line of JSON with the time to ``heard.jsonl`` in its state folder.
 """
 
 from __future__ import annotations
@@ -15,11 +14,12 @@
 
 from fleetlab.program import PROGRAM_PORT, connect_to, run_program
 
-ASK_PERIOD_S, ANSWER_TIMEOUT_S = 0.1, 0.2
+ASK_PERIOD_S = 0.1  # pause between two rounds of calls
+ANSWER_TIMEOUT_S = 0.2  # for one call, connecting included
 
 
 async def echo_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Say what was said."""
+    """Send back the line that a caller sent."""
     try:
         writer.write(await reader.readline())
     except ConnectionError:
@@ -29,14 +29,14 @@
 
 
 async def is_answered(own: str, other: str) -> bool:
-    """Whether another process answers."""
-    word = f"{own}\n".encode()
+    """Return whether another process echoes a line within ``ANSWER_TIMEOUT_S``."""
+    line = f"{own}\n".encode()
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await connect_to(other)
             try:
-                writer.write(word)
-                return await reader.readline() == word
+                writer.write(line)
+                return await reader.readline() == line
             finally:
                 writer.close()
     except (OSError, TimeoutError):
@@ -44,7 +44,7 @@
 
 
 async def run(config: dict[str, Any]) -> None:
-    """Answer and ask until the process ends."""
+    """Answer and call others until the process ends."""
     server = await asyncio.start_server(echo_line, config["address"], PROGRAM_PORT)
     loop = asyncio.get_running_loop()
     async with server:
--- a/fleetlab/stepped_clock.py
+++ b/fleetlab/stepped_clock.py
@@ -1,6 +1,6 @@
-"""A program whose wall clock steps by hours, ``python -m fleetlab.stepped_clock CONFIG``.
+"""Runs a program with a wall clock that steps by hours, ``python -m fleetlab.stepped_clock CONFIG``.
 
-The first line of the configuration names the program: ``# runs: MODULE``. Its monotonic clock stays as it is.
+The first line of the configuration names the program: ``# runs: MODULE``. The monotonic clock is not changed.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 import time
 from pathlib import Path
 
-STEP_PERIOD_S, STEP_S = 0.7, 5 * 3600.0
-_real_time, _real_time_ns = time.time, time.time_ns
+STEP_PERIOD_S = 0.7  # between two steps
+STEP_S = 5 * 3600.0
+_real_time = time.time
+_real_time_ns = time.time_ns
 
 
 def offset_s() -> float:
-    """Forth and back by hours, again and again."""
+    """Return the present offset of the wall clock: -5 h, 0 or +5 h, in turn."""
     return STEP_S * (int(time.monotonic() / STEP_PERIOD_S) % 3 - 1)
 
 
 def run_with_stepped_clock(module: str) -> None:
-    """Run a module in this process, with a wall clock that steps."""
+    """Run a module as the main program of this process with a stepped wall clock."""
 
     def seconds() -> float:
         return _real_time() + offset_s()
@@ -30,11 +32,11 @@
         return _real_time_ns() + int(offset_s() * 1e9)
 
     class Stepped(datetime.datetime):
-        """Dates by the same clock."""
+        """``datetime.datetime`` by the stepped clock."""
 
         @classmethod
         def now(cls, tz: datetime.tzinfo | None = None) -> Stepped:
-            """As it shows now."""
+            """Return the stepped time."""
             return cls.fromtimestamp(seconds(), tz)
 
     time.time, time.time_ns = seconds, nanoseconds
