--- a/fleetlab/fenced_counter.py
+++ b/fleetlab/fenced_counter.py
@@ -1,8 +1,9 @@
-"""What leased tasks act on, ``python -m fleetlab.fenced_counter CONFIG``: a fenced and an unfenced counter.
+"""A fenced and an unfenced resource for leased tasks, ``python -m fleetlab.fenced_counter CONFIG``.
 
-Each act names its holder and token. The fenced one keeps the rule (no token below the highest seen), the
-unfenced one lets everybody in; both note every act with the time at which it came, in ``acts.jsonl``, which
-the lab takes into the history: who acted when is the resource's own record, not the holders'.
+Each act names its holder and its fencing token. The fenced resource admits no token below the highest one it
+has seen; the unfenced resource admits every act. Both write each act with its time of arrival to
+``acts.jsonl``, which the lab takes into the history. So it is the resource, not the holder, that says who
+acted when.
 """
 
 from __future__ import annotations
@@ -18,14 +19,17 @@
 from fleetlab.program import PROGRAM_PORT, run_program
 from quorum.holder import Fence
 
-MAX_LINE_BYTES = 4096
+MAX_LINE_BYTES = 4096  # of one act on the wire
 ACTS_FILE = "acts.jsonl"
 
 
 class Act(msgspec.Struct, frozen=True):
-    """A line to the resource, and with ``at_s`` (monotonic) and ``admitted`` a line of its record."""
+    """An act on a resource, sent as one line of JSON.
 
-    resource: str  # fenced, unfenced
+    The resource sets ``at_s``, its monotonic time, and ``admitted`` before it writes the act to its record.
+    """
+
+    resource: str  # "fenced" or "unfenced"
     lease: str
     holder: str
     token: int
@@ -34,7 +38,7 @@
 
 
 class CounterServer:
-    """Both counters, by lease."""
+    """Serves both resources; each lease has a fence of its own."""
 
     def __init__(self, folder: Path) -> None:
         self._record = (folder / ACTS_FILE).open("ab", buffering=0)
@@ -42,13 +46,13 @@
         self._decode = msgspec.json.Decoder(Act).decode
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take acts, one a line, each answered ``yes`` or ``no``."""
+        """Read acts, one a line, and answer each with ``yes`` (admitted) or ``no``."""
         try:
             while line := await reader.readline():
                 act = self._decode(line)
                 admitted = act.resource == "unfenced" or self._fence(act.lease).admits(act.token)
-                noted = msgspec.structs.replace(act, at_s=time.monotonic(), admitted=admitted)
-                self._record.write(msgspec.json.encode(noted) + b"\n")
+                recorded = msgspec.structs.replace(act, at_s=time.monotonic(), admitted=admitted)
+                self._record.write(msgspec.json.encode(recorded) + b"\n")
                 writer.write(b"yes\n" if admitted else b"no\n")
         except (ConnectionError, ValueError, msgspec.DecodeError):
             pass
--- a/fleetlab/lease_holder.py
+++ b/fleetlab/lease_holder.py
@@ -1,8 +1,7 @@
-"""Holders of leases for the lab, ``python -m fleetlab.lease_holder CONFIG``: take one, act while it lasts,
-again.
+"""A holder of leases, ``python -m fleetlab.lease_holder CONFIG``: takes a lease, acts, and starts again.
 
-It trusts the holder's library alone: it checks ``may_act`` before each act, then acts on both resources. What
-it knows of itself it does not tell; the resource's record is judged.
+It relies on the lease library alone: before each act on both resources it checks ``may_act``. It records
+nothing itself, because the checkers judge by the resource's record.
 """
 
 from __future__ import annotations
@@ -19,20 +18,20 @@
 from quorum.client import Client, LeaseKeeper, QuorumError
 from tomlconfig import Address, parse_address
 
-ACT_PERIOD_S = 0.02  # s between acts
-ANSWER_TIMEOUT_S = 1.0
-ACTS_PER_LEASE = 80  # acts after which a holder gives its lease back in order
+ACT_PERIOD_S = 0.02  # pause between two acts
+ANSWER_TIMEOUT_S = 1.0  # for an act on both resources, and for the release of a lease
+ACTS_PER_LEASE = 80  # acts after which a holder releases its lease
 
 
 class LeasedTask:
-    """The leased work: counting on both resources."""
+    """The leased work: acts on both resources."""
 
     def __init__(self, name: str, lease: str, resource: Address) -> None:
         self._name, self._lease, self._address = name, lease, resource
         self._connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def act(self, token: int) -> None:
-        """One act on each."""
+        """Act once on each resource; an act that fails is dropped with its connection."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 if self._connection is None:
@@ -49,20 +48,21 @@
 
 
 async def act_while_leased(keeper: LeaseKeeper, task: LeasedTask, careless: bool) -> None:
-    """Act as long as the lease lasts, and give it back in order now and then.
+    """Act as long as the lease lasts, and release it after ``ACTS_PER_LEASE`` acts.
 
-    A careless one, which is planted, goes on where it had to stop: the resource's record has to show it.
+    A careless holder is a planted bug: it goes on acting after its lease has ended, and for more acts. The
+    resource's record has to show it.
     """
-    keeping = asyncio.ensure_future(keeper.keep_renewed())
-    acts, most = 0, 4 * ACTS_PER_LEASE if careless else ACTS_PER_LEASE
+    renewals = asyncio.ensure_future(keeper.keep_renewed())
+    acts, max_acts = 0, 4 * ACTS_PER_LEASE if careless else ACTS_PER_LEASE
     try:
-        while (careless or keeper.may_act()) and acts < most:
+        while (careless or keeper.may_act()) and acts < max_acts:
             await task.act(keeper.held_lease.token)
             acts += 1
             await asyncio.sleep(ACT_PERIOD_S)
     finally:
-        keeping.cancel()
-        await asyncio.gather(keeping, return_exceptions=True)
+        renewals.cancel()
+        await asyncio.gather(renewals, return_exceptions=True)
     if keeper.may_act():
         await keeper.release(ANSWER_TIMEOUT_S)
 
