--- a/fleetlab/scripted_relay.py
+++ b/fleetlab/scripted_relay.py
@@ -1,9 +1,8 @@
-"""The lab's own plain relay, ``python -m fleetlab.scripted_relay``: scripted, without any
-of the project's decisions.
+"""The lab's scripted relay, ``python -m fleetlab.scripted_relay``: it uses none of the project's decisions.
 
-It takes every message on, calls an endpoint of its destination once, and ends it by that. The lab is
-calibrated with it: with no fault its own counts, which it writes to ``$ROUTER_STATE/counts.json``, agree to
-the message with the history. ``$PLAIN_BUG`` plants one of ``BUGS``, each of which a checker has to find.
+It accepts every message, calls an endpoint of its destination once, and ends the message by that. The lab is
+calibrated with it: without faults its own counts, which it writes to ``$ROUTER_STATE/counts.json``, agree
+with the history to the message. ``$PLAIN_BUG`` plants one of ``BUGS``, each of which a checker has to find.
 """
 
 from __future__ import annotations
@@ -24,12 +23,12 @@
     "forget", "late", "two-out", "repeat", "many", "wrong-destination", "ignore-drain", "ignore-wait",
     "silent", "crash", "two-ends", "invent", "hammer", "deaf",
 )  # fmt: skip
-WATCH_SILENCE_S = 3.0  # s without a line after which a watch is opened anew
+WATCH_SILENCE_S = 3.0  # s without a line after which a watch is reopened
 CALL_TIMEOUT_S = 3.0  # s for a whole call
 
 
 class ScriptedRelay:
-    """One plain relay."""
+    """One scripted relay."""
 
     def __init__(self, config: dict[str, Any], environ: dict[str, str]) -> None:
         self.bug = environ.get("PLAIN_BUG", "")
@@ -53,9 +52,9 @@
         server.close()
 
     def _increment(self, name: str) -> None:
-        """Count, and keep the counts where they outlast a kill."""
+        """Add to a count, and write all counts to a file that survives a kill."""
         self.counts[name] += 1
-        # Written over in place: the text never gets shorter, and a truncated file may wait for the disk.
+        # Overwritten in place: the text never gets shorter, and truncating the file may block on the disk.
         self._counts_file.seek(0)
         self._counts_file.write(json.dumps(self.counts).encode())
 
@@ -65,7 +64,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _watch_hosts(self) -> None:
-        """Follow the list."""
+        """Follow the endpoint list; reopen the watch when it fails or is silent."""
         while True:
             try:
                 reader, writer = await connect_to(self._discovery)
@@ -108,7 +107,7 @@
         ]
 
     async def _process_message(self, ref: str, fields: dict[str, str], body: bytes) -> None:
-        """One message, to its one end."""
+        """Take a message to its end, as the planted bug wants it."""
         loop, dest = asyncio.get_running_loop(), int(fields["dest"])
         number = self.counts["taken"]
         if self.bug == "forget" and number % 10 == 0:
@@ -117,19 +116,19 @@
             await asyncio.sleep(int(fields["d"]) / 1000 + 0.6)
         while self.bug != "ignore-wait" and self._wait_until_s.get(dest, 0) > loop.time():
             await asyncio.sleep(self._wait_until_s[dest] - loop.time())
-        ending = [self._usable_hosts(dest)]
-        if not ending[0]:
+        usable = [self._usable_hosts(dest)]
+        if not usable[0]:
             await self._send_notice(ref, "bounced")
             return
-        host = ending[0][next(self._call_numbers) % len(ending[0])]
+        host = usable[0][next(self._call_numbers) % len(usable[0])]
         sent = "feedfeed" + ref if self.bug == "invent" and number % 10 == 0 else ref
-        times = {"two-out": 2, "repeat": 2, "many": 12, "hammer": 1}.get(self.bug, 1)
+        calls = {"two-out": 2, "repeat": 2, "many": 12, "hammer": 1}.get(self.bug, 1)
         if self.bug == "two-out":
             status, *_ = await asyncio.gather(
-                *(self._call_endpoint(host, sent, fields, body) for _ in range(times))
+                *(self._call_endpoint(host, sent, fields, body) for _ in range(calls))
             )
         else:
-            for _ in range(times):
+            for _ in range(calls):
                 status = await self._call_endpoint(host, sent, fields, body)
         while self.bug == "hammer" and status != 200:
             status = await self._call_endpoint(host, sent, fields, body)
@@ -141,11 +140,11 @@
             await self._send_notice(ref, "dead")
 
     async def _call_endpoint(self, host: str, ref: str, fields: dict[str, str], body: bytes) -> int:
-        """One call on a connection of its own; its status, 0 for none."""
+        """Call an endpoint on a connection of its own; return the status, or 0 if there is none."""
         self._increment("calls")
         key = f"Idempotency-Key: {fields['k']}\r\n" if "k" in fields else ""
-        told = f"{key}X-Remaining: {CALL_TIMEOUT_S * 1000:.0f}m\r\nContent-Length: {len(body)}"
-        head = f"POST /hook HTTP/1.1\r\nX-Txn: {ref}\r\n{told}\r\n\r\n"
+        headers = f"{key}X-Remaining: {CALL_TIMEOUT_S * 1000:.0f}m\r\nContent-Length: {len(body)}"
+        head = f"POST /hook HTTP/1.1\r\nX-Txn: {ref}\r\n{headers}\r\n\r\n"
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 reader, writer = await connect_to(self.hosts[host]["dial"])
@@ -163,7 +162,7 @@
         return int(lines[0].split()[1])
 
     async def _send_notice(self, ref: str, result: str) -> None:
-        """End a message by notice."""
+        """End a message by a notice, repeated until the agent confirms it."""
         self._increment(result)
         line = json.dumps({"ref": ref, "result": result}).encode()
         while True:
@@ -182,7 +181,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> list[bytes]:
-    """The words of one request; none where the client has ended."""
+    """Read the words of one RESP request; return none if the client has ended the connection."""
     first = await reader.readline()
     words = []
     for _ in range(int(first[1:]) if first else 0):
@@ -192,12 +191,12 @@
 
 
 def parse_fields(names: bytes) -> dict[str, str]:
-    """The list of names and values."""
+    """Parse the list of names and values of ``ENQUEUE``."""
     return dict(pair.split("=", 1) for pair in names.decode().split(","))
 
 
 def main() -> int:
-    """Read the configuration and serve."""
+    """Read the configuration and serve until SIGTERM."""
     with open(os.environ["ROUTER_CONFIG"], "rb") as file:
         config = json.load(file)
     asyncio.run(ScriptedRelay(config, dict(os.environ)).run())
