--- a/fleetlab/settings.py
+++ b/fleetlab/settings.py
@@ -1,4 +1,4 @@
-"""What a deployment tells a relay, made from a scenario."""
+"""The settings that a deployment gives to its relays, made from a scenario."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def relay_settings(scenario: Scenario) -> dict[str, Any]:
-    """The settings object, in the wire's words."""
+    """Return the settings object with the keys that relays read."""
     kinds = list(dict.fromkeys(partner.kind for partner in scenario.partners))
     zones = list(dict.fromkeys(partner.zone for partner in scenario.partners))
     first = scenario.partners[0]
@@ -73,5 +73,5 @@
 
 
 def to_us(seconds: float) -> int:
-    """Seconds as the wire's microseconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1e6)
--- a/fleetlab/templates.py
+++ b/fleetlab/templates.py
@@ -1,4 +1,4 @@
-"""Program templates: what a ``[[program]]`` of a scenario takes over by ``use``, so that it stands once."""
+"""Program templates, which a ``[[program]]`` of a scenario includes by its key ``use``."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 def template_names() -> list[str]:
-    """The project's templates."""
+    """Return the names of the project's templates."""
     return sorted(path.stem for path in TEMPLATE_FOLDER.glob("*.toml"))
 
 
 def with_templates(raw: dict[str, Any]) -> dict[str, Any]:
-    """A scenario's keys with each ``use`` resolved; ``ValueError`` that begins with the key if unknown.
+    """Return the keys of a scenario with the templates of its programs filled in.
 
-    What a program sets by itself goes before its template. The schema judges everything else.
+    Keys that a program sets itself override its template. Raise ``ValueError``, which begins with the key, if
+    there is no such template. Everything else is left to the schema's checks.
     """
     programs = raw.get("program")
     if not isinstance(programs, list):
