--- a/fleetlab/lab_run.py
+++ b/fleetlab/lab_run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet, what surrounds it, the links between, its faults, and the history of it all."""
+"""One run: a fleet, its clients, endpoints and platform, the links between them, faults and the history."""
 
 from __future__ import annotations
 
@@ -57,63 +57,64 @@
 from standins.scripted import encode_command
 
 T = TypeVar("T")
-CLIENTS_BACKLOG = 1_024  # of a clients' socket that the platform holds
-LAG_PERIOD_S, MIN_NOTED_LAG_S = 0.02, 0.03
-OLD_DISCOVERY_CLOSE_S = (
-    1.5  # s after which a discovery that has moved closes its open connections, as the terms say
-)
-RECORDED_FIGURES = (
+CLIENTS_BACKLOG = 1_024  # of a relay's listening socket that the platform holds
+LAG_PERIOD_S = 0.02  # period of the measurement of the lab's own lag
+MIN_NOTED_LAG_S = 0.03  # smaller lags are not recorded
+# Discovery that has moved closes its open connections at the old address after this time, as the terms say.
+OLD_DISCOVERY_CLOSE_S = 1.5
+RECORDED_FIGURES = (  # figures of each relay that are recorded at the end of a run
     NETWORK_CALLS_FIGURE,
     MODULE_CALLS_FIGURE,
     "descriptors.open",
     "memory.resident_bytes",
-)  # of relays, at the end
-COUNTS_AGREE_S = 1.0  # s in which a relay's counts of its calls have to agree once at the end
-END_GRACE_S = 1.0  # s after the last deadline when a run ends, whatever is still owed
-FLUSH_BYTES = 64 * 1024
-SEED_STRIDE = 65_536  # between the seeds of two runs' links
-SOCKETS_PER_UDP_LINK = 2  # of a link that carries them, beside the one that listens
-SPARE_DESCRIPTORS = 1_024  # of the lab, for what links carry and for its other sockets
+)
+COUNTS_AGREE_S = 1.0  # at the end both counts of a relay's open calls have to agree once within this time
+END_GRACE_S = 1.0  # a run ends this long after the last deadline, even if messages have not ended
+FLUSH_BYTES = 64 * 1024  # write buffer of the history's file
+SEED_STRIDE = 65_536  # distance between the seeds of two runs, so that their links have different seeds
+SOCKETS_PER_UDP_LINK = 2  # of a link that carries datagrams, beside its TCP listener
+SPARE_DESCRIPTORS = 1_024  # left for connections through links and for the lab's other sockets
 
 
 class LabClock(Clock):
-    """The run's clock; a caller's address is its relay's."""
+    """The clock of a run, which also names callers by their relay."""
 
     def __init__(self, relays: dict[str, str]) -> None:
         super().__init__()
         self._relay_by_address = relays
 
     def caller(self, peer: tuple[str, int]) -> tuple[str, str]:
-        """The relay by its address."""
+        """Return a caller's relay and the name of its connection, by the caller's address and port."""
         relay = self._relay_by_address.get(peer[0], peer[0])
         return relay, f"{relay}:{peer[1]}"
 
 
 class History:
-    """The file that all records go to, in the order in which they were seen; the load begins at 0 s.
+    """The file of all records, in the order in which they were made.
 
-    What was seen before the load is written once that begins, at negative times.
+    Time 0 is the beginning of the load. Earlier records are kept until then, and written with negative times.
+    ``subscribers`` are called with each record.
     """
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("wb", buffering=FLUSH_BYTES)
-        self._before_load: list[records.AnyRecord] = []  # seen before the load
+        self._before_load: list[records.AnyRecord] = []  # not written yet
         self._load_begun = False
         self.subscribers: list[Callable[[records.AnyRecord], None]] = []
 
     def __call__(self, record: records.AnyRecord) -> None:
-        """Note a record, and tell those who follow the run."""
+        """Add a record and call the subscribers; do nothing once the history is closed."""
         if self._file.closed:
             return
         if self._load_begun:
             self._file.write(records.encode_line(record))
         else:
             self._before_load.append(record)
-        for tap in self.subscribers:
-            tap(record)
+        for subscriber in self.subscribers:
+            subscriber(record)
 
     def begin_load(self, at_s: float) -> None:
-        """The load begins, so many seconds after the time from which records have counted so far."""
+        """Begin the load; ``at_s`` is its time on the clock that earlier records have."""
         for record in self._before_load:
             is_head = isinstance(record, records.Head)
             moved = record if is_head else msgspec.structs.replace(record, t=record.t - at_s)
@@ -123,57 +124,66 @@
         self(records.Phase(0.0, "load"))
 
     def close(self) -> None:
-        """Write out what is left; of a run that had no load, at the times as they were noted."""
+        """Close the file; records of a run that had no load keep their times."""
         if not self._file.closed:
             self._file.writelines(map(records.encode_line, self._before_load))
         self._file.close()
 
 
 def check_descriptors(scenario: Scenario) -> None:
-    """Each link listens: ``FleetError`` where this process may not open as many sockets as the run has."""
-    links, sockets = count_relay_links(scenario), 0
+    """Raise ``FleetError`` if this process may not open as many sockets as the run's links need."""
+    tcp_links, udp_sockets = count_relay_links(scenario), 0
     for program in scenario.program:
-        own = count_program_links(scenario, program)
-        links += own
-        sockets += own * SOCKETS_PER_UDP_LINK if program.datagrams else 0
-    may = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if links + sockets + SPARE_DESCRIPTORS > may:
+        program_links = count_program_links(scenario, program)
+        tcp_links += program_links
+        udp_sockets += program_links * SOCKETS_PER_UDP_LINK if program.datagrams else 0
+    max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if tcp_links + udp_sockets + SPARE_DESCRIPTORS > max_descriptors:
         others = f" and {len(scenario.program_names)} further processes" if scenario.program else ""
-        datagrams = f" and {sockets} sockets for datagrams" if sockets else ""
+        datagrams = f" and {udp_sockets} sockets for datagrams" if udp_sockets else ""
         raise FleetError(
-            f"{scenario.relays} relays{others} have {links} links{datagrams}; "
-            f"this process may open {may} files"
+            f"{scenario.relays} relays{others} have {tcp_links} links{datagrams}; "
+            f"this process may open {max_descriptors} files"
         )
 
 
 class Lab:
-    """A run of a scenario; ``play`` leaves ``history.jsonl`` and each process's folder in ``out``."""
+    """A run of a scenario; ``play`` writes ``history.jsonl`` and a folder for each process to ``out``."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, out: Path, faults: list[Fault], say: Callable[[str], None]
+        self,
+        scenario: Scenario,
+        seed: int,
+        out: Path,
+        faults: list[Fault],
+        report_progress: Callable[[str], None],
     ) -> None:
-        self.scenario, self.seed, self.out, self._report_progress = scenario, seed, out, say
+        self.scenario, self.seed, self.out, self._report_progress = scenario, seed, out, report_progress
         self._scheduled_faults = number_faults(faults)
         self._links: dict[tuple[str, str], TcpLink] = {}
         self._udp_links: list[UdpLink] = []
-        self._program_ports: dict[str, int] = {}  # of further processes: where each tells that it is ready
+        self._program_ports: dict[str, int] = {}  # by further process: a port that is open once it is ready
         self._tasks: set[asyncio.Task[None]] = set()
         self._errors: list[BaseException] = []
 
     async def play(self) -> None:
-        """The whole run; ``FleetError`` where the fleet does not come up. No process is left behind."""
+        """Play the whole run and end every process that it started.
+
+        Raise ``FleetError`` if the fleet does not come up, and the first error of a fault or of the lag
+        measurement.
+        """
         self.out.mkdir(parents=True, exist_ok=True)
         command = (
             deploy_command() if self.scenario.relay == "run" else module_command("fleetlab.scripted_relay")
         )
         check_descriptors(self.scenario)
-        self._address_pool = places = Addresses()
+        self._address_pool = address_pool = Addresses()
         names = self.scenario.relay_names
-        self._addresses = {name: places.process_address(at) for at, name in enumerate(names)}
+        self._addresses = {name: address_pool.process_address(at) for at, name in enumerate(names)}
         self._relay_by_address = {address: name for name, address in self._addresses.items()}
-        others = self.scenario.program_names
+        programs = self.scenario.program_names
         self._program_addresses = {
-            name: places.process_address(len(names) + at) for at, name in enumerate(others)
+            name: address_pool.process_address(len(names) + at) for at, name in enumerate(programs)
         }
         self._clock = LabClock(self._relay_by_address)
         self.history = History(self.out / "history.jsonl")
@@ -188,36 +198,40 @@
             for task in list(self._tasks):
                 task.cancel()
             await self._close()
-            places.close()
+            address_pool.close()
         if self._errors:
             raise self._errors[0]
 
     def _create_surroundings(self) -> None:
-        """Partners, platform, clients and links, none of them open yet."""
+        """Create endpoints, platform, clients and the fleet; nothing listens yet."""
         scenario, clock, sink = self.scenario, self._clock, self.history
         plan = msgspec.to_builtins(scenario)
-        owners = {host: partner.dest for partner in scenario.partners for host in partner.hosts}
-        sink(records.Head(0.0, plan["about"], self.seed, scenario.relay_names, owners, plan))
+        dest_by_host = {host: partner.dest for partner in scenario.partners for host in partner.hosts}
+        sink(records.Head(0.0, plan["about"], self.seed, scenario.relay_names, dest_by_host, plan))
         self.destinations = [DestinationModel(partner) for partner in scenario.partners]
         self.endpoints = {
             host: Endpoint(
-                site,
+                destination,
                 host,
                 address=self._address_pool.address_at(SERVERS_INDEX),
                 sink=sink,
                 clock=clock,
                 seed=self.seed * 1009 + number,
             )
-            for number, (site, host) in enumerate((s, h) for s in self.destinations for h in s.spec.hosts)
+            for number, (destination, host) in enumerate(
+                (s, h) for s in self.destinations for h in s.spec.hosts
+            )
         }
         self.platform = Platform(sink, clock, self._dial, self._platform_delay_s)
-        for site in self.destinations:
-            for host in site.spec.hosts:
-                self.platform.add_entry(EndpointEntry(host, site.spec.zone, site.spec.kind, site.spec.dest))
-        parts = clients.draw_relay_shares(scenario.relays, scenario.load.uneven, self.seed)
+        for destination in self.destinations:
+            for host in destination.spec.hosts:
+                self.platform.add_entry(
+                    EndpointEntry(host, destination.spec.zone, destination.spec.kind, destination.spec.dest)
+                )
+        shares = clients.draw_relay_shares(scenario.relays, scenario.load.uneven, self.seed)
         names = scenario.relay_names
         self.load_balancer = clients.LoadBalancer(
-            dict(zip(names, parts, strict=True)), scenario.load.front_learns_s
+            dict(zip(names, shares, strict=True)), scenario.load.front_learns_s
         )
         self.clients = clients.Clients(
             scenario.load, scenario.classes, front=self.load_balancer, sink=sink, clock=clock,
@@ -226,12 +240,12 @@
         sink.subscribers.append(self._on_record)
         self.fleet = Fleet(self.out / "processes", clock.now, sink, self._on_exit, self._on_ready)
         self._process_faults = ProcessFaults(
-            self.fleet, self._addresses, clients=self._address_pool.address_at(CLIENTS_INDEX), answers=self._is_answering,
-            restarting=self._store_known_list,
+            self.fleet, self._addresses, clients=self._address_pool.address_at(CLIENTS_INDEX),
+            answers=self._is_answering, restarting=self._store_known_list,
         )  # fmt: skip
 
     def _on_record(self, record: records.AnyRecord) -> None:
-        """Clients learn of the ends of their messages."""
+        """Tell the clients when their messages end."""
         if isinstance(record, records.Noticed):
             self.clients.message_ended(record.ref, record.result, record.wait_ms)
         elif isinstance(record, records.Reply):
@@ -240,22 +254,24 @@
                     self.clients.message_ended(ref, end)
 
     def _add_link(self, caller: str, called: str, target: Callable[[], Address], source: str) -> TcpLink:
+        """Create a link that does not listen yet; connections from others than clients are recorded."""
+
         def ended(conn: str) -> None:
             self.history(records.Gone(self._clock.now(), conn))
 
         def opened(conn: str) -> None:
             self.history(records.Opened(self._clock.now(), conn))
 
-        told = {} if caller == "clients" else {"gone": ended, "came": opened}
+        callbacks = {} if caller == "clients" else {"on_closed": ended, "on_opened": opened}
         link = TcpLink(
-            caller, called, target, near=self._address_pool.link_address(len(self._links)), source=source,
-            seed=self.seed * SEED_STRIDE + len(self._links), **told,
+            caller, called, target, listen_host=self._address_pool.link_address(len(self._links)),
+            source_host=source, seed=self.seed * SEED_STRIDE + len(self._links), **callbacks,
         )  # fmt: skip
         self._links[caller, called] = link
         return link
 
     async def _open_endpoints_and_links(self) -> None:
-        """Every listening socket, then every link."""
+        """Start all endpoints and agents, and open the links to them."""
         for endpoint in self.endpoints.values():
             await endpoint.start()
         for name, address in self._addresses.items():
@@ -271,14 +287,16 @@
                 self._add_link(name, host, endpoint.listener.address, address).open()
 
     def _dial(self, relay: str, host: str) -> str:
+        """Return the address under which a relay reaches an endpoint: that of its link."""
         return "{}:{}".format(*self._links[relay, host].address)
 
     def _platform_delay_s(self, relay: str) -> float | None:
-        flow = self._links[relay, "platform"].back.impairment
-        return None if flow.cut else flow.delay_s
+        """Return the delay from the platform to a relay in seconds, or None while that way is cut."""
+        impairment = self._links[relay, "platform"].back.impairment
+        return None if impairment.cut else impairment.delay_s
 
     async def _start_processes(self, command: str) -> None:
-        """Every process, until all of them answer."""
+        """Start every process and wait until all of them answer."""
         scenario = self.scenario
         limits = ProcessLimits(scenario.sockets)
         for name, address in self._addresses.items():
@@ -305,7 +323,7 @@
         await asyncio.gather(*(self.fleet.wait_ready(member, self._is_answering) for member in members))
 
     def _add_program(self, program: Program, number: int, name: str, limits: ProcessLimits) -> None:
-        """A further process: its links, and its configuration with their addresses."""
+        """Add a further process with its links, and write its configuration with their addresses."""
         address = self._program_addresses[name]
         member = self.fleet.add(name, "", {}, {}, limits)
         for called, port in linked_ports_in(program.config):
@@ -329,7 +347,10 @@
         self._program_ports[name] = program.ports[0]
 
     def _link_to_port(self, program: Program, name: str, called: str, port: int) -> Address:
-        """Where a process reaches another's port: a link, with one for datagrams where it sends any."""
+        """Return the address of the link from a process to another one's port; add the link if it is missing.
+
+        A program that sends datagrams also gets a UDP link at the same address.
+        """
         if (link := self._links.get((name, f"{called}:{port}"))) is None:
             target = partial(
                 fixed_address, self._program_addresses.get(called) or self._addresses[called], port
@@ -337,17 +358,21 @@
             link = self._add_link(name, f"{called}:{port}", target, self._program_addresses[name])
             link.open()
             if program.datagrams:
-                near, number = link.address, len(self._udp_links)
-                beside = UdpLink(
-                    name, f"{called}:{port}", target, near=near[0], source=self._program_addresses[name],
+                listen_address, number = link.address, len(self._udp_links)
+                udp_link = UdpLink(
+                    name, f"{called}:{port}", target, listen_host=listen_address[0],
+                    source_host=self._program_addresses[name],
                     seed=self.seed * SEED_STRIDE + SEED_STRIDE // 2 + number,
                 )  # fmt: skip
-                beside.port = near[1]
-                self._udp_links.append(beside)
+                udp_link.port = listen_address[1]
+                self._udp_links.append(udp_link)
         return link.address
 
     def _peer_lines(self, program: Program, name: str, kind: str, port: int) -> str:
-        """A line for each other process of a kind: its own address, and where this one reaches it."""
+        """Return a line of TOML for each other process of a program.
+
+        It gives the process's own address, and the address at which ``name`` reaches it.
+        """
         others = [other for item in self.scenario.program if item.name == kind for other in item.names]
         return "\n".join(
             '"{}:{}" = "{}:{}"'.format(
@@ -358,10 +383,10 @@
         )
 
     def _relay_environment(self, name: str, address: str) -> dict[str, str]:
-        """A relay's variables."""
+        """Return the environment variables of a relay."""
         discovery = "{}:{}".format(*self._links[name, "platform"].address)
-        more = {"PLAIN_BUG": self.scenario.bug} if self.scenario.bug else {}
-        return more | {
+        bug = {"PLAIN_BUG": self.scenario.bug} if self.scenario.bug else {}
+        return bug | {
             "ROUTER_NAME": name,
             "ROUTER_LISTEN": f"{address}:{CLIENTS_PORT}",
             "ROUTER_ADMIN": f"{address}:{ADMIN_PORT}",
@@ -369,7 +394,7 @@
         }
 
     def _relay_config(self, name: str, address: str) -> dict[str, Any]:
-        """A relay's configuration file."""
+        """Return the contents of a relay's configuration file."""
         scenario, agent = self.scenario, self.platform.agents[name]
         entries = list(self.platform.state.entries.values())
         return {
@@ -388,12 +413,15 @@
         }
 
     def _store_known_list(self, member: Member) -> None:
-        """Configure the next life of a relay with the list as it had it last."""
-        if member.name in self._addresses and (had := self.platform.agents[member.name].last_sent_list):
-            member.config |= {"known": msgspec.json.decode(had)}
+        """Configure the next life of a relay with the endpoint list that its agent sent last."""
+        if member.name in self._addresses and (last_list := self.platform.agents[member.name].last_sent_list):
+            member.config |= {"known": msgspec.json.decode(last_list)}
 
     async def _is_answering(self, member: Member) -> bool:
-        """Whether a relay replies to ``PING``, asked at its own address; a program, whether it listens."""
+        """Return whether a process is ready: a relay replies to ``PING``, a program accepts connections.
+
+        Both are asked at their own address, not through a link.
+        """
         with suppress(OSError, TimeoutError):
             if member.name in self._program_addresses:
                 _, writer = await asyncio.open_connection(
@@ -411,22 +439,23 @@
         return False
 
     def _on_ready(self, name: str) -> None:
-        """A relay answers: clients can reach it."""
+        """Let clients reach a relay that is ready."""
         if name in self._addresses:
             self.load_balancer.mark_ready(name)
             self._links["clients", name].open()
 
     def _on_exit(self, name: str) -> None:
-        """A relay's process has ended: new connections are refused."""
+        """Refuse new connections to a relay whose process has ended."""
         if name in self._addresses:
             self.load_balancer.mark_lost(name, self._clock.now())
             self._links["clients", name].close()
 
     async def _run_load(self) -> None:
-        """The load with the faults, then rest until nothing is owed."""
+        """Play load and faults, then wait until every message has ended or its time is over."""
         scenario = self.scenario
         messages = clients.draw_messages(
-            scenario.load, scenario.classes, scenario.tenants, [site.spec.dest for site in self.destinations],
+            scenario.load, scenario.classes, scenario.tenants,
+            [destination.spec.dest for destination in self.destinations],
             seconds=scenario.seconds, seed=self.seed,
         )  # fmt: skip
         self.history.begin_load(self._clock.now())
@@ -441,17 +470,21 @@
         await self.clients.submit_all(messages)
         await asyncio.sleep(max(0.0, scenario.seconds - self._clock.now()))
         self.history(records.Phase(self._clock.now(), "rest"))
-        last_s = self._clock.now() + max(cls.deadline_s for cls in scenario.classes) + END_GRACE_S
+        end_s = self._clock.now() + max(cls.deadline_s for cls in scenario.classes) + END_GRACE_S
         while (
             (self.clients.is_submitting or self.clients.accepted)
-            and self._clock.now() < last_s
+            and self._clock.now() < end_s
             and not self._errors
         ):
             await asyncio.sleep(0.05)
         self.history(records.Phase(self._clock.now(), "over"))
 
     async def _record_relay_figures(self) -> None:
-        """What each relay's ledger tells at the end; calls may be counted apart for the time of a step."""
+        """Record figures of each relay's cost page at the end of the run.
+
+        The two counts of open calls may differ while a step of the relay runs, so that they are read again
+        until they agree.
+        """
         for name, address in self._addresses.items():
             member = self.fleet.members[name]
             if not (member.is_alive and member.is_ready):
@@ -460,24 +493,27 @@
             until_s, figures = self._clock.now() + COUNTS_AGREE_S, dict[str, float]()
             while True:
                 figures = await read_costs(address, port)
-                settled = figures.get(NETWORK_CALLS_FIGURE) == figures.get(MODULE_CALLS_FIGURE)
-                if settled or self._clock.now() > until_s:
+                is_settled = figures.get(NETWORK_CALLS_FIGURE) == figures.get(MODULE_CALLS_FIGURE)
+                if is_settled or self._clock.now() > until_s:
                     break
                 await asyncio.sleep(LAG_PERIOD_S)
-            kept = {figure: figures[figure] for figure in RECORDED_FIGURES if figure in figures}
-            self.history(records.Measured(self._clock.now(), name, kept))
+            recorded = {figure: figures[figure] for figure in RECORDED_FIGURES if figure in figures}
+            self.history(records.Measured(self._clock.now(), name, recorded))
 
     def _record_program_files(self) -> None:
-        """What programs noted by themselves, on the clock that all processes of a machine share."""
+        """Add to the history what programs recorded themselves.
+
+        Their times are of the monotonic clock, which all processes of a machine share.
+        """
         for member in self.fleet.members.values():
             for path in sorted(member.state_folder.glob(f"{FIGURES_PREFIX}-*.json")):
                 figures = msgspec.json.decode(path.read_bytes(), type=dict[str, float])
                 self.history(records.Measured(self._clock.now(), member.name, figures))
         for member in self.fleet.members.values():
-            for seen in read_json_lines(member.state_folder / TRACE_FILE, ViewChange):
-                at_s = seen.at_s - self._clock.start_s
+            for view in read_json_lines(member.state_folder / TRACE_FILE, ViewChange):
+                at_s = view.at_s - self._clock.start_s
                 self.history(
-                    records.Viewed(at_s, member.name, seen.generation, seen.name, seen.state, seen.by)
+                    records.Viewed(at_s, member.name, view.generation, view.name, view.state, view.by)
                 )
         for member in self.fleet.members.values():
             for act in read_json_lines(member.state_folder / ACTS_FILE, Act):
@@ -487,6 +523,7 @@
                 )
 
     async def _measure_lag(self) -> None:
+        """Record how late the lab's own event loop is."""
         while True:
             due_s = self._clock.now() + LAG_PERIOD_S
             await asyncio.sleep(LAG_PERIOD_S)
@@ -505,7 +542,7 @@
             self._errors.append(error)
 
     async def _play_fault(self, item: ScheduledFault, name: str, at_s: float) -> None:
-        """One fault on one target, from its time on until it ends."""
+        """Wait for the time of a fault on one target, then play it until it ends."""
         await asyncio.sleep(max(0.0, at_s - self._clock.now()))
         fault = item.fault
         self._record_fault(item, name, "begin")
@@ -532,7 +569,7 @@
 
     @staticmethod
     async def _wait_fault_duration(fault: Fault) -> None:
-        """Wait for a fault's time; one without lasts until the run is over."""
+        """Wait as long as a fault lasts; one without ``for_s`` lasts until the end of the run."""
         if fault.for_s is None:
             await asyncio.get_running_loop().create_future()
         else:
@@ -543,7 +580,7 @@
         return [*self._links.values(), *self._udp_links]
 
     def _links_between(self, name: str, others: list[str]) -> Iterable[TcpLink | UdpLink]:
-        """The links between a process and others; with none named all of its links."""
+        """Yield the links between a process and others, or all its links if no others are named."""
         for link in self._all_links:
             caller, called = link.caller, link.called.partition(":")[0]
             if name not in (caller, called):
@@ -554,40 +591,41 @@
                 yield link
 
     def _group_word(self, name: str) -> str:
-        """The word that stands for all of a name's kind."""
+        """Return the word by which scenarios name all of a kind: partners, relays, or the name itself."""
         if name in self.endpoints:
             return "partners"
         return "relays" if name in self._addresses else name
 
     async def _apply_link_fault(self, item: ScheduledFault, name: str) -> None:
         fault = item.fault
-        some = list(self._links_between(name, fault.to))
+        links = list(self._links_between(name, fault.to))
         if fault.kind == "reset":
-            for link in some:
+            for link in links:
                 if isinstance(link, TcpLink):
                     link.reset()
             return
-        condition = Impairment(
+        impairment = Impairment(
             cut=fault.kind == "cut", delay_s=fault.delay_ms / 1000, jitter_s=fault.jitter_ms / 1000,
             bytes_per_s=fault.bytes_per_s, lost=fault.lost, doubled=fault.doubled, reordered=fault.reordered,
         )  # fmt: skip
         number = item.number * SEED_STRIDE + stable_hash(name)
-        for link in some:
-            # A relay is called by its clients and calls everybody else: from it is forward for the others.
+        for link in links:
+            # A fault's direction is seen from its target, a link's from its caller: turn it around where the
+            # target is the called side, as a relay is for its clients.
             link.apply(
                 number,
-                condition,
+                impairment,
                 opposite_direction(fault.direction) if link.caller != name else fault.direction,
             )
         try:
             await self._wait_fault_duration(fault)
         finally:
-            for link in some:
+            for link in links:
                 link.remove(number)
 
     async def _apply_partner_fault(self, fault: Fault, host: str) -> None:
         endpoint = self.endpoints[host]
-        trouble, site = endpoint.destination.faults_by_host[host], endpoint.destination
+        endpoint_faults, destination = endpoint.destination.faults_by_host[host], endpoint.destination
         if fault.kind == "partner-down":
             endpoint.go_down()
             links = [link for (_, called), link in self._links.items() if called == host]
@@ -603,21 +641,27 @@
             await self._wait_fault_duration(fault)
             self.platform.change_health(host, "SERVING")
         elif fault.kind == "partner-limit":
-            before, site.limit_per_s = (
-                site.limit_per_s,
-                (site.limit_per_s or site.spec.warm_capacity_per_s) * fault.share,
+            limit_before_per_s, destination.limit_per_s = (
+                destination.limit_per_s,
+                (destination.limit_per_s or destination.spec.warm_capacity_per_s) * fault.share,
             )
             await self._wait_fault_duration(fault)
-            site.limit_per_s = before
+            destination.limit_per_s = limit_before_per_s
         else:
-            before_trouble = (trouble.slowdown, trouble.failure_share, trouble.hang_share)
-            trouble.slowdown = max(trouble.slowdown, fault.times)
+            faults_before = (
+                endpoint_faults.slowdown,
+                endpoint_faults.failure_share,
+                endpoint_faults.hang_share,
+            )
+            endpoint_faults.slowdown = max(endpoint_faults.slowdown, fault.times)
             if fault.kind == "partner-fail":
-                trouble.failure_share = max(trouble.failure_share, fault.share)
+                endpoint_faults.failure_share = max(endpoint_faults.failure_share, fault.share)
             if fault.kind == "partner-hang":
-                trouble.hang_share = max(trouble.hang_share, fault.share or 1.0)
+                endpoint_faults.hang_share = max(endpoint_faults.hang_share, fault.share or 1.0)
             await self._wait_fault_duration(fault)
-            trouble.slowdown, trouble.failure_share, trouble.hang_share = before_trouble
+            endpoint_faults.slowdown, endpoint_faults.failure_share, endpoint_faults.hang_share = (
+                faults_before
+            )
 
     async def _apply_platform_fault(self, fault: Fault) -> None:
         state = self.platform.state
@@ -639,16 +683,20 @@
             state.publish_delay_s -= fault.late_s
 
     async def _move_discovery(self) -> None:
-        """Discovery gets another address: relays are told by file and SIGHUP, the old one ends its calls."""
+        """Move discovery to new addresses.
+
+        Relays learn theirs from their configuration files and SIGHUP. The old addresses refuse connections, and
+        reset the open ones after ``OLD_DISCOVERY_CLOSE_S``.
+        """
         moved = []
         for name, address in self._addresses.items():
             moved.append(self._links.pop((name, "platform")))
             agent = self.platform.agents[name]
             self._add_link(name, "platform", agent.listener.address, address).open()
             member = self.fleet.members[name]
-            where = "{}:{}".format(*self._links[name, "platform"].address)
-            member.config |= {"discovery": where}
-            member.environment |= {"ROUTER_DISCOVERY": where}
+            discovery = "{}:{}".format(*self._links[name, "platform"].address)
+            member.config |= {"discovery": discovery}
+            member.environment |= {"ROUTER_DISCOVERY": discovery}
         await asyncio.gather(*(self.fleet.reload(self.fleet.members[name]) for name in self._addresses))
         for link in moved:
             link.close()
@@ -657,7 +705,7 @@
             link.stop()
 
     async def _close(self) -> None:
-        """End everything, and note what it used."""
+        """Stop everything, and record the lab's own processor time and peak memory."""
         if hasattr(self, "fleet"):
             await self.fleet.stop()
         if hasattr(self, "clients"):
@@ -672,24 +720,24 @@
         self.history.close()
 
 
-def read_json_lines(path: Path, kind: type[T]) -> Iterator[T]:
-    """What a program wrote down in JSON lines; the last one may be torn by its end."""
+def read_json_lines(path: Path, record_type: type[T]) -> Iterator[T]:
+    """Yield the JSON lines of a file; skip a last line that its writer's end cut off."""
     if path.exists():
         for line in path.read_bytes().splitlines(keepends=True):
             if line.endswith(b"\n"):
-                yield msgspec.json.decode(line, type=kind)
+                yield msgspec.json.decode(line, type=record_type)
 
 
 def opposite_direction(direction: str) -> Any:
-    """A direction from the other end."""
+    """Return a direction as seen from the other end."""
     return {"forward": "back", "back": "forward"}.get(direction, "both")
 
 
 def stable_hash(name: str) -> int:
-    """A small number for a name, the same in every process."""
+    """Return a number below ``SEED_STRIDE`` for a name, the same in every process."""
     return sum((at + 1) * byte for at, byte in enumerate(name.encode())) % SEED_STRIDE
 
 
 def fixed_address(host: str, port: int) -> Address:
-    """An address that does not change."""
+    """Return an address; used as a link's target that does not change."""
     return host, port
--- a/fleetlab/links.py
+++ b/fleetlab/links.py
@@ -1,8 +1,8 @@
-"""Links: every connection and datagram between two processes of a fleet passes through one of these.
+"""Links, which carry every connection and datagram between two processes of a fleet and can impair them.
 
-A link stands for the network between a caller and one address that it calls. Its two directions are cut,
-delayed and throttled on their own; a cut link takes no connection (its caller's SYN finds no room, as when a
-machine has vanished) and what is under way stays silent until it heals. All of it is in userspace.
+A link is a userspace proxy between a caller and one address that it calls. Each of its two directions can be
+cut, delayed and throttled. A cut link accepts no connection: the kernel drops the caller's SYN, as if the
+called machine were gone. What is under way on a cut link is held back until the cut ends.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 from standins.http import reset_connection
 
-MAX_QUEUED_BYTES = 256 * 1024  # bytes that a direction of one connection holds back before it stops reading
-MAX_DELAYED_DATAGRAMS = 4096  # that a direction of a UDP link holds back; more are lost
+MAX_QUEUED_BYTES = 256 * 1024  # per direction of a connection; with more queued it stops reading
+MAX_DELAYED_DATAGRAMS = 4096  # per UDP link; further ones are lost
 LISTEN_BACKLOG = 1024
 Address = tuple[str, int]
 Direction = Literal["forward", "back", "both"]
@@ -28,19 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Impairment:
-    """What a fault does to one direction; several add up."""
+    """What a fault does to one direction of a link."""
 
     cut: bool = False
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # mean of an exponential addition
-    bytes_per_s: float = 0.0  # 0: unbounded
+    jitter_s: float = 0.0  # mean of an exponentially distributed extra delay
+    bytes_per_s: float = 0.0  # 0: no limit
     lost: float = 0.0  # share of datagrams
-    doubled: float = 0.0
-    reordered: float = 0.0  # share that is held back behind later ones
+    doubled: float = 0.0  # share of datagrams
+    reordered: float = 0.0  # share of datagrams that are delayed behind later ones
 
 
 class Flow:
-    """One direction of a link."""
+    """One direction of a link, with the combined impairment of all faults on it.
+
+    ``change_listeners`` are called after each change of the impairment.
+    """
 
     def __init__(self, rng: np.random.Generator) -> None:
         self._rng = rng
@@ -48,62 +51,66 @@
         self.impairment = Impairment()
         self.change_listeners: list[Callable[[], None]] = []
 
-    def apply(self, number: int, condition: Impairment) -> None:
-        """A fault begins."""
-        self._impairments[number] = condition
+    def apply(self, number: int, impairment: Impairment) -> None:
+        """Add the impairment of a fault; ``number`` identifies the fault."""
+        self._impairments[number] = impairment
         self._combine_impairments()
 
     def remove(self, number: int) -> None:
-        """A fault ends."""
+        """Remove the impairment of a fault."""
         if self._impairments.pop(number, None) is not None:
             self._combine_impairments()
 
     def _combine_impairments(self) -> None:
-        some = list(self._impairments.values())
-        rates = [item.bytes_per_s for item in some if item.bytes_per_s]
+        """Combine all impairments: delays add up, and otherwise the strongest counts."""
+        impairments = list(self._impairments.values())
+        rates = [item.bytes_per_s for item in impairments if item.bytes_per_s]
         self.impairment = Impairment(
-            cut=any(item.cut for item in some),
-            delay_s=sum(item.delay_s for item in some),
-            jitter_s=sum(item.jitter_s for item in some),
+            cut=any(item.cut for item in impairments),
+            delay_s=sum(item.delay_s for item in impairments),
+            jitter_s=sum(item.jitter_s for item in impairments),
             bytes_per_s=min(rates, default=0.0),
-            lost=max((item.lost for item in some), default=0.0),
-            doubled=max((item.doubled for item in some), default=0.0),
-            reordered=max((item.reordered for item in some), default=0.0),
+            lost=max((item.lost for item in impairments), default=0.0),
+            doubled=max((item.doubled for item in impairments), default=0.0),
+            reordered=max((item.reordered for item in impairments), default=0.0),
         )
-        for told in list(self.change_listeners):
-            told()
+        for listener in list(self.change_listeners):
+            listener()
 
     def draw_delay_s(self) -> float:
-        """How late the next bytes come."""
+        """Draw the delay of the next bytes in seconds."""
         if not self.impairment.jitter_s:
             return self.impairment.delay_s
         return self.impairment.delay_s + float(self._rng.exponential(self.impairment.jitter_s))
 
     def draw_event(self, share: float) -> bool:
-        """A seeded draw."""
+        """Draw whether an event with the given probability occurs."""
         return share > 0 and bool(self._rng.random() < share)
 
 
 class StreamEnd(Enum):
-    """What can follow the bytes of one direction."""
+    """How one direction of a connection can end."""
 
     CLEAN = "clean"
     RESET = "reset"
 
 
 class Pipe(asyncio.Protocol):
-    """One side of a connection: what comes in here goes out at ``other``, as late as its flow says."""
+    """One side of a proxied connection.
+
+    What arrives here is written at ``opposite``, the other side, as late as the flow says.
+    """
 
     def __init__(self, flow: Flow, ended: Callable[[Pipe], None]) -> None:
         self._flow, self._ended = flow, ended
         self.transport: asyncio.Transport | None = None
         self.opposite: Pipe | None = None
         self.connection: Connection | None = None
-        self._queue: deque[tuple[float, bytes | StreamEnd]] = deque()  # due time, and bytes or what ends them
+        self._queue: deque[tuple[float, bytes | StreamEnd]] = deque()  # due time, and bytes or the end
         self._queued_bytes = 0
         self._last_due_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._opposite_blocked = False  # the other side's writes pile up
+        self._opposite_blocked = False  # the write buffer of the other side is full
         self._received_eof = self._sent_eof = self.is_lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -119,16 +126,16 @@
         self._ended(self)
         self._enqueue(StreamEnd.CLEAN)
         self._close_if_both_ended()
-        return True  # the other direction goes on
+        return True  # keeps the transport open for the other direction
 
     def connection_lost(self, exc: Exception | None) -> None:
-        clean = exc is None and self._received_eof and self._sent_eof
+        is_clean = exc is None and self._received_eof and self._sent_eof
         self.is_lost = True
         self._ended(self)
-        if clean:
+        if is_clean:
             self.deliver_due()
             return
-        if self._flow.impairment.cut:  # its system drops what the other side has not confirmed
+        if self._flow.impairment.cut:  # the kernel drops bytes that were not acknowledged
             self._queue.clear()
             self._queued_bytes = 0
         self._enqueue(StreamEnd.RESET)
@@ -142,11 +149,12 @@
             self.opposite.set_opposite_blocked(False)
 
     def set_opposite_blocked(self, blocked: bool) -> None:
-        """The other side takes no more, or takes more again."""
+        """Note whether the write buffer of the other side is full."""
         self._opposite_blocked = blocked
         self._update_reading()
 
     def _update_reading(self) -> None:
+        """Read no more while too much is queued, or the other side's write buffer is full."""
         if self.transport is None or self.transport.is_closing():
             return
         if self._opposite_blocked or self._queued_bytes > MAX_QUEUED_BYTES:
@@ -155,7 +163,7 @@
             self.transport.resume_reading()
 
     def write_item(self, item: bytes | StreamEnd) -> None:
-        """Write what the other side sent, or end as it did."""
+        """Write bytes from the other side, or end this side as the other one ended."""
         if self.transport is None or self.transport.is_closing():
             return
         if isinstance(item, bytes):
@@ -166,29 +174,30 @@
             self._sent_eof = True
             try:
                 self.transport.write_eof()
-            except OSError:  # its peer has reset it, and the loop has not seen that yet
+            except OSError:  # the peer has reset the connection, and the event loop does not know yet
                 reset_connection(self.transport)
                 return
             self._close_if_both_ended()
 
     def _close_if_both_ended(self) -> None:
-        """Both directions have ended: nothing holds the connection open."""
+        """Close the transport once both directions have ended."""
         if self._received_eof and self._sent_eof and self.transport is not None:
             self.transport.close()
 
     def _enqueue(self, item: bytes | StreamEnd) -> None:
-        now_s, condition = asyncio.get_running_loop().time(), self._flow.impairment
+        """Queue bytes or an end for the time at which the flow lets them through."""
+        now_s, impairment = asyncio.get_running_loop().time(), self._flow.impairment
         due_s = max(self._last_due_s, now_s + self._flow.draw_delay_s())
         if isinstance(item, bytes):
-            if condition.bytes_per_s:
-                due_s = max(self._last_due_s, now_s) + len(item) / condition.bytes_per_s
+            if impairment.bytes_per_s:
+                due_s = max(self._last_due_s, now_s) + len(item) / impairment.bytes_per_s
             self._queued_bytes += len(item)
         self._last_due_s = due_s
         self._queue.append((due_s, item))
         self.deliver_due()
 
     def deliver_due(self) -> None:
-        """Pass on what is due, unless this direction is cut."""
+        """Write what is due at the other side, unless this direction is cut."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -209,38 +218,46 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection through a link; ``name`` is how the called side knows it."""
+    """A connection through a link; ``name`` is the name under which the called side records it."""
 
-    caller_side: Pipe  # towards the caller
+    caller_side: Pipe
     called_side: Pipe | None = None
     name: str = ""
     is_ended: bool = False
 
 
-ConnectionCallback = Callable[[str], None]  # told the name of a connection
+ConnectionCallback = Callable[[str], None]  # gets the name of a connection
 
 
 class TcpLink:
-    """The way from one caller to one address."""
+    """A proxy for TCP connections from one caller to one address."""
 
     def __init__(
         self,
         caller: str,
         called: str,
-        target: Callable[[], Address],
+        target_address: Callable[[], Address],
         *,
-        near: str,
-        source: str,
+        listen_host: str,
+        source_host: str,
         seed: int,
-        gone: ConnectionCallback | None = None,
-        came: ConnectionCallback | None = None,
+        on_closed: ConnectionCallback | None = None,
+        on_opened: ConnectionCallback | None = None,
     ) -> None:
-        """``near`` is the address that the caller calls, ``source`` the one that the called side sees."""
+        """Create a link, which does not listen yet.
+
+        The caller connects to ``listen_host``; the called side, at ``target_address``, sees ``source_host``.
+        ``on_opened`` is called once a connection to the called side is up, and ``on_closed`` once its caller
+        has ended it. ``seed`` determines the delays.
+        """
         self.caller, self.called = caller, called
-        self._target_address, self._source_host, self._on_closed, self._on_opened = target, source, gone, came
+        self._target_address = target_address
+        self._source_host = source_host
+        self._on_closed = on_closed
+        self._on_opened = on_opened
         self.forward = Flow(np.random.default_rng([seed, 0]))
         self.back = Flow(np.random.default_rng([seed, 1]))
-        self._listen_host, self.port = near, 0
+        self._listen_host, self.port = listen_host, 0
         self._listener: socket.socket | None = None
         self._backlog_fillers: list[socket.socket] = []
         self._connections: set[Connection] = set()
@@ -250,16 +267,16 @@
 
     @property
     def address(self) -> Address:
-        """Where the caller calls."""
+        """Where the caller connects."""
         return self._listen_host, self.port
 
     @property
     def is_cut(self) -> bool:
-        """Whether no new connection can come up: it takes both directions."""
+        """Whether no new connection can be made, because at least one direction is cut."""
         return self.forward.impairment.cut or self.back.impairment.cut
 
     def open(self) -> None:
-        """Listen, on the same port as before where there was one; the called side is there."""
+        """Listen, on the same port as before if there was one."""
         if self._listener is not None:
             return
         self._listener = socket.create_server((self._listen_host, self.port), backlog=LISTEN_BACKLOG)
@@ -269,7 +286,7 @@
         self._update_backlog()
 
     def close(self) -> None:
-        """Refuse new connections: nobody is there."""
+        """Stop listening, so that new connections are refused."""
         self._close_fillers()
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
@@ -277,7 +294,7 @@
             self._listener = None
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop listening and reset all connections."""
         self.close()
         self.reset()
         for task in self._tasks:
@@ -290,13 +307,13 @@
                 if pipe is not None and pipe.transport is not None:
                     reset_connection(pipe.transport)
 
-    def apply(self, number: int, condition: Impairment, direction: Direction) -> None:
-        """A fault begins."""
+    def apply(self, number: int, impairment: Impairment, direction: Direction) -> None:
+        """Begin a fault on one or both directions; ``number`` identifies it."""
         for flow in self._flows(direction):
-            flow.apply(number, condition)
+            flow.apply(number, impairment)
 
     def remove(self, number: int) -> None:
-        """A fault ends."""
+        """End a fault."""
         self.forward.remove(number)
         self.back.remove(number)
 
@@ -304,7 +321,7 @@
         return {"forward": [self.forward], "back": [self.back], "both": [self.forward, self.back]}[direction]
 
     def _update_backlog(self) -> None:
-        """While it is cut the backlog stays full, so that the kernel drops each SYN."""
+        """While the link is cut keep its listen backlog full, so that the kernel drops each SYN."""
         if self._listener is None:
             return
         loop = asyncio.get_running_loop()
@@ -312,18 +329,18 @@
             loop.remove_reader(self._listener)
             self._listener.listen(0)
             for _ in range(2):
-                sock = socket.socket()
-                sock.setblocking(False)
-                sock.connect_ex(self.address)
-                self._backlog_fillers.append(sock)
+                filler = socket.socket()
+                filler.setblocking(False)
+                filler.connect_ex(self.address)
+                self._backlog_fillers.append(filler)
         elif not self.is_cut and self._backlog_fillers:
             self._close_fillers()
             self._listener.listen(LISTEN_BACKLOG)
             loop.add_reader(self._listener, self._accept)
 
     def _close_fillers(self) -> None:
-        for sock in self._backlog_fillers:
-            sock.close()
+        for filler in self._backlog_fillers:
+            filler.close()
         self._backlog_fillers.clear()
 
     def _accept(self) -> None:
@@ -336,36 +353,36 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect_sides(self, sock: socket.socket) -> None:
-        """Connect to the called side; where nobody is there the caller sees a reset."""
+    async def _connect_sides(self, caller_socket: socket.socket) -> None:
+        """Connect to the called side; if it refuses, reset the caller's connection."""
         loop = asyncio.get_running_loop()
-        sock.setblocking(False)
-        near = Pipe(self.forward, self._side_ended)
-        connection = near.connection = Connection(near)
-        await loop.connect_accepted_socket(lambda: near, sock)
-        far = Pipe(self.back, self._side_ended)
+        caller_socket.setblocking(False)
+        caller_side = Pipe(self.forward, self._side_ended)
+        connection = caller_side.connection = Connection(caller_side)
+        await loop.connect_accepted_socket(lambda: caller_side, caller_socket)
+        called_side = Pipe(self.back, self._side_ended)
         try:
             await loop.create_connection(
-                lambda: far, *self._target_address(), local_addr=(self._source_host, 0)
+                lambda: called_side, *self._target_address(), local_addr=(self._source_host, 0)
             )
         except OSError:
-            if near.transport is not None:
-                reset_connection(near.transport)
+            if caller_side.transport is not None:
+                reset_connection(caller_side.transport)
             return
-        assert far.transport is not None
-        connection.called_side = far
-        far.connection = connection
-        connection.name = f"{self.caller}:{far.transport.get_extra_info('sockname')[1]}"
+        assert called_side.transport is not None
+        connection.called_side = called_side
+        called_side.connection = connection
+        connection.name = f"{self.caller}:{called_side.transport.get_extra_info('sockname')[1]}"
         if self._on_opened is not None:
             self._on_opened(connection.name)
-        if connection.is_ended and self._on_closed is not None:  # its caller ended before it had a name
+        if connection.is_ended and self._on_closed is not None:  # the caller ended it before it had a name
             self._on_closed(connection.name)
-        near.opposite, far.opposite = far, near
+        caller_side.opposite, called_side.opposite = called_side, caller_side
         self._connections.add(connection)
-        near.deliver_due()  # what came before the called side was there
+        caller_side.deliver_due()  # bytes that arrived before the called side was connected
 
     def _side_ended(self, pipe: Pipe) -> None:
-        """The caller has ended its sending, or one side is gone; told once for the caller's side."""
+        """Handle the end of a side's stream or its loss; report the end of the caller's side once."""
         connection = pipe.connection
         if connection is None:
             return
@@ -378,13 +395,23 @@
 
 
 class UdpLink:
-    """Datagrams from one caller to one address, and its answers back."""
+    """A proxy for datagrams from one caller to one address, and for the answers."""
 
     def __init__(
-        self, caller: str, called: str, target: Callable[[], Address], *, near: str, source: str, seed: int
+        self,
+        caller: str,
+        called: str,
+        target_address: Callable[[], Address],
+        *,
+        listen_host: str,
+        source_host: str,
+        seed: int,
     ) -> None:
+        """Create a link that is not bound yet; see ``TcpLink`` for the arguments."""
         self.caller, self.called = caller, called
-        self._target_address, self._listen_host, self._source_host = target, near, source
+        self._target_address = target_address
+        self._listen_host = listen_host
+        self._source_host = source_host
         self.forward = Flow(np.random.default_rng([seed, 0]))
         self.back = Flow(np.random.default_rng([seed, 1]))
         self.port = 0
@@ -396,11 +423,11 @@
 
     @property
     def address(self) -> Address:
-        """Where the caller sends."""
+        """Where the caller sends datagrams."""
         return self._listen_host, self.port
 
     async def start(self) -> None:
-        """Listen."""
+        """Bind both sockets."""
         loop = asyncio.get_running_loop()
         self._caller_transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramReceiver(self._from_caller), local_addr=(self._listen_host, self.port)
@@ -411,19 +438,19 @@
         self.port = int(self._caller_transport.get_extra_info("sockname")[1])
 
     def stop(self) -> None:
-        """End it."""
+        """Close both sockets."""
         for transport in (self._caller_transport, self._called_transport):
             if transport is not None:
                 transport.close()
 
-    def apply(self, number: int, condition: Impairment, direction: Direction) -> None:
-        """A fault begins."""
+    def apply(self, number: int, impairment: Impairment, direction: Direction) -> None:
+        """Begin a fault on one or both directions; ``number`` identifies it."""
         for name, flow in (("forward", self.forward), ("back", self.back)):
             if direction in (name, "both"):
-                flow.apply(number, condition)
+                flow.apply(number, impairment)
 
     def remove(self, number: int) -> None:
-        """A fault ends."""
+        """End a fault."""
         self.forward.remove(number)
         self.back.remove(number)
 
@@ -444,7 +471,7 @@
             transport.sendto(data, to)
 
     def _transmit(self, flow: Flow, data: bytes, send: Callable[[bytes], None]) -> None:
-        """One datagram on its way: lost, doubled, held back, late, or as it came."""
+        """Lose, double, reorder, delay or pass on a datagram, as the flow's impairment says."""
         if (
             flow.impairment.cut
             or flow.draw_event(flow.impairment.lost)
@@ -474,11 +501,11 @@
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    def __init__(self, came: Callable[[bytes, Address], None]) -> None:
-        self._on_datagram = came
+    def __init__(self, on_datagram: Callable[[bytes, Address], None]) -> None:
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self._on_datagram(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens at the other end: a datagram is lost, as any may be."""
+        """Ignore that nobody listens at the other end: the datagram is lost, as any may be."""
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -58,7 +58,9 @@
     """An echo behind a link, and the names of connections whose caller has ended."""
     echo, gone = Echo(), list[str]()
     await echo.start()
-    link = TcpLink("r0", "echo", echo.where, near=HERE, source=HERE, seed=1, gone=gone.append)
+    link = TcpLink(
+        "r0", "echo", echo.where, listen_host=HERE, source_host=HERE, seed=1, on_closed=gone.append
+    )
     link.open()
     yield echo, link, gone
     link.stop()
@@ -244,7 +246,7 @@
     loop = asyncio.get_running_loop()
     transport, heard = await loop.create_datagram_endpoint(Heard, local_addr=(HERE, 0))
     address = transport.get_extra_info("sockname")
-    link = UdpLink("r0", "r1", lambda: address, near=HERE, source=HERE, seed=7)
+    link = UdpLink("r0", "r1", lambda: address, listen_host=HERE, source_host=HERE, seed=7)
     await link.start()
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     yield link, sock, heard
