--- a/fleetlab/addresses.py
+++ b/fleetlab/addresses.py
@@ -39,7 +39,7 @@
     def address_at(self, index: int) -> str:
         """Return the address with an index; raise ``ValueError`` if the run has no such index."""
         if not 0 <= index < ADDRESSES_PER_RUN:
-            raise ValueError(f"no address has index {index}: a run has {ADDRESSES_PER_RUN} addresses")
+            raise ValueError(f"no address has index {index}: a run has {ADDRESSES_PER_RUN}")
         net = self._first_net + index // ADDRESSES_PER_NET
         return f"127.{net // 256}.{net % 256}.{1 + index % ADDRESSES_PER_NET}"
 
