--- a/fleetlab/lab_run.py
+++ b/fleetlab/lab_run.py
@@ -241,7 +241,7 @@
         self.fleet = Fleet(self.out / "processes", clock.now, sink, self._on_exit, self._on_ready)
         self._process_faults = ProcessFaults(
             self.fleet, self._addresses, clients=self._address_pool.address_at(CLIENTS_INDEX),
-            answers=self._is_answering, restarting=self._store_known_list,
+            is_answering=self._is_answering, before_restart=self._store_known_list,
         )  # fmt: skip
 
     def _on_record(self, record: records.AnyRecord) -> None:
@@ -685,8 +685,8 @@
     async def _move_discovery(self) -> None:
         """Move discovery to new addresses.
 
-        Relays learn theirs from their configuration files and SIGHUP. The old addresses refuse connections, and
-        reset the open ones after ``OLD_DISCOVERY_CLOSE_S``.
+        Relays learn theirs from their configuration files and SIGHUP. The old addresses refuse connections,
+        and reset the open ones after ``OLD_DISCOVERY_CLOSE_S``.
         """
         moved = []
         for name, address in self._addresses.items():
--- a/fleetlab/process_faults.py
+++ b/fleetlab/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults on processes: kills, ends by a series of signals, replacements, pauses, limits and idle clients."""
+"""Faults on processes: kills, terminations, replacements, reloads, pauses, limits, crowds of idle clients."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from fleetlab.fleet import Fleet, Member
 from fleetlab.scenario import ADMIN_PORT, CLIENTS_PORT, Fault
 
-KILL_AFTER_S = 3.7  # s from SIGTERM to SIGKILL, as the protocol's page says
-RECONNECT_S = 0.03
-CROWD_STEP_S = 0.01  # s between two connections of a crowd
+KILL_AFTER_S = 3.7  # from SIGTERM to SIGKILL, as the protocol's page says
+RECONNECT_S = 0.03  # before an idle client of a crowd connects again
+CROWD_STEP_S = 0.01  # between the first connections of two idle clients of a crowd
 SIGNALS = {"HUP": signal.SIGHUP, "TERM": signal.SIGTERM}
 
 
@@ -27,49 +27,53 @@
         relays: dict[str, str],
         *,
         clients: str,
-        answers: Callable[[Member], Awaitable[bool]],
-        restarting: Callable[[Member], None],
+        is_answering: Callable[[Member], Awaitable[bool]],
+        before_restart: Callable[[Member], None],
     ) -> None:
-        """``relays`` gives the address of each relay, ``clients`` where idle clients call from."""
+        """Prepare faults on a fleet.
+
+        ``relays`` gives the address of each relay, and ``clients`` the one that idle clients connect from.
+        ``is_answering`` tells whether a member is ready; ``before_restart`` is called before each restart.
+        """
         self._fleet, self._relay_addresses, self._clients_address = fleet, relays, clients
-        self._is_answering, self._before_restart = answers, restarting
-        self._holding_faults: dict[str, int] = {}  # processes that faults hold down, by how many
+        self._is_answering, self._before_restart = is_answering, before_restart
+        self._holding_faults: dict[str, int] = {}  # by process: how many faults keep it from being restarted
 
-    async def play(self, fault: Fault, member: Member, last: Callable[[], Awaitable[None]]) -> None:
-        """One fault on one process; ``last`` waits for the fault's time."""
+    async def play(self, fault: Fault, member: Member, wait_end: Callable[[], Awaitable[None]]) -> None:
+        """Play a fault on a process; ``wait_end`` waits until the fault's time is over."""
         match fault.kind:
             case "kill" | "terminate":
-                await self._end_and_restart(fault, member, last)
+                await self._end_and_restart(fault, member, wait_end)
             case "replace":
                 await self._replace(fault, member)
             case "reload":
                 await self._reload(fault, member)
             case "crowd":
-                await self._crowd(fault, member, last)
+                await self._crowd(fault, member, wait_end)
             case "pause":
                 self._fleet.signal(member, signal.SIGSTOP)
-                await last()
+                await wait_end()
                 self._fleet.signal(member, signal.SIGCONT)
             case "slow":
-                await self._slow(fault, member, last)
+                await self._slow(fault, member, wait_end)
             case _:
                 self._fleet.set_limits(member, fault.descriptors, fault.file_bytes)
-                await last()
+                await wait_end()
                 self._fleet.reset_limits(member)
 
-    async def _slow(self, fault: Fault, member: Member, last: Callable[[], Awaitable[None]]) -> None:
-        over = asyncio.Event()
-        task = asyncio.get_running_loop().create_task(self._fleet.stop_and_go(member, fault.share, over))
+    async def _slow(self, fault: Fault, member: Member, wait_end: Callable[[], Awaitable[None]]) -> None:
+        is_over = asyncio.Event()
+        task = asyncio.get_running_loop().create_task(self._fleet.stop_and_go(member, fault.share, is_over))
         try:
-            await last()
+            await wait_end()
         finally:
-            over.set()
+            is_over.set()
             await task
 
     async def _end_and_restart(
-        self, fault: Fault, member: Member, last: Callable[[], Awaitable[None]]
+        self, fault: Fault, member: Member, wait_end: Callable[[], Awaitable[None]]
     ) -> None:
-        """End a process, and start it again once no fault holds it down."""
+        """End a process, and start it again once no fault keeps it down."""
         self._holding_faults[member.name] = self._holding_faults.get(member.name, 0) + 1
         async with member.change_lock:
             if fault.kind == "kill":
@@ -78,7 +82,7 @@
                 await self._terminate(fault, member)
         if fault.lose_folder:
             self._fleet.clear_state(member)
-        await last()
+        await wait_end()
         self._holding_faults[member.name] -= 1
         if not self._holding_faults[member.name] and not member.is_alive:
             self._before_restart(member)
@@ -86,20 +90,21 @@
             await self._fleet.wait_ready(member, self._is_answering)
 
     async def _terminate(self, fault: Fault, member: Member) -> None:
-        """SIGTERM, the fault's other signals one after the other, and SIGKILL to one that is still there."""
-        more = asyncio.get_running_loop().create_task(self._send_signals(fault, member))
+        """Send SIGTERM and the fault's further signals, and SIGKILL if the process still runs in the end."""
+        signals = asyncio.get_running_loop().create_task(self._send_signals(fault, member))
         try:
             await self._fleet.terminate(member, KILL_AFTER_S)
         finally:
-            more.cancel()
+            signals.cancel()
 
     async def _send_signals(self, fault: Fault, member: Member) -> None:
+        """Send the fault's signals, each after ``gap_s``."""
         for name in fault.signals:
             await asyncio.sleep(fault.gap_s)
             self._fleet.signal(member, SIGNALS[name])
 
     async def _replace(self, fault: Fault, member: Member) -> None:
-        """Start the relay's next process beside it, and end the old one once the new one says yes."""
+        """Replace the process of a relay ``repeats`` times, each on an operator port of its own."""
         for _ in range(fault.repeats):
             async with member.change_lock:
                 if not member.is_alive or not member.is_ready:
@@ -113,13 +118,13 @@
             await asyncio.sleep(fault.gap_s)
 
     async def _reload(self, fault: Fault, member: Member) -> None:
-        """SIGHUP with the configuration as it is, several times in a row."""
+        """Write the same configuration and send SIGHUP, ``repeats`` times."""
         for _ in range(fault.repeats):
             await self._fleet.reload(member)
             await asyncio.sleep(fault.gap_s)
 
-    async def _crowd(self, fault: Fault, member: Member, last: Callable[[], Awaitable[None]]) -> None:
-        """So many connections that bring nothing; each one that the relay ends is opened again."""
+    async def _crowd(self, fault: Fault, member: Member, wait_end: Callable[[], Awaitable[None]]) -> None:
+        """Keep idle connections to a relay open until the fault ends."""
         tasks = [
             asyncio.get_running_loop().create_task(
                 self._keep_idle_connection(self._relay_addresses[member.name], number * CROWD_STEP_S)
@@ -127,13 +132,14 @@
             for number in range(fault.connections)
         ]
         try:
-            await last()
+            await wait_end()
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _keep_idle_connection(self, address: str, after_s: float) -> None:
+        """Connect after a time, send nothing, and connect again whenever the relay ends the connection."""
         await asyncio.sleep(after_s)
         while True:
             with suppress(OSError):
