--- a/fleetlab/soak.py
+++ b/fleetlab/soak.py
@@ -1,4 +1,4 @@
-"""A soak: many short plays with faults drawn by seed, and one line for each that tells what came of it."""
+"""A soak: many short runs with faults drawn by seed, and a summary line for each."""
 
 from __future__ import annotations
 
@@ -18,81 +18,82 @@
 from fleetlab.scenario import Adversary, Fault, Scenario
 
 SCENARIO_NAME = "soak"
-CROWD_SEED_PERIOD = 4  # seeds, of which one has a crowd of idle clients
-CROWD_S = 5.0
-CROWD_SHARE = 0.9  # of a relay's descriptors, as connections of a crowd
-STALL_COUNT, STALL_S = 6, 0.15
-STALL_RNG_STREAM = 7  # of a seed's random numbers
+CROWD_SEED_PERIOD = 4  # one in so many seeds has a crowd of idle clients
+CROWD_S = 5.0  # how long a crowd stays
+CROWD_SHARE = 0.9  # of a relay's descriptors are taken by a crowd
+STALL_COUNT = 6  # pauses of relays in each run
+STALL_S = 0.15  # duration of such a pause; the acceptance page asks relays to bear it
+STALL_RNG_STREAM = 7  # separates these draws from others with the same seed
 EFFECTS = ("keyed", "safe", "unsafe")
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What came of one seed."""
+    """The outcome of one seed's run."""
 
     seed: int
-    broken: dict[str, str]  # by check: its first finding
+    broken: dict[str, str]  # by violated check: its first finding
     valid: bool
     counts: dict[str, int]
-    faults: Counter[str]  # begun, by kind
+    faults: Counter[str]  # how many began, by kind
     replacements: int  # processes that were replaced
     error: str = ""  # why the fleet did not come up
 
     @property
     def ok(self) -> bool:
-        """Whether nothing broke."""
+        """Whether the run was played and all checks hold."""
         return not self.broken and not self.error
 
     @property
     def summary(self) -> str:
-        """The seed in one line, with the command that repeats it where something broke."""
+        """The outcome in one line."""
         if self.error:
             return f"seed {self.seed}: did not come up: {self.error}"
         faults = " ".join(f"{kind} {count}" for kind, count in sorted(self.faults.items()))
-        told = f"{self.counts['taken']} taken, {self.replacements} replaced; {faults}"
-        word = "holds" if self.ok else "BREAKS " + "; ".join(f"{k}: {v}" for k, v in self.broken.items())
+        totals = f"{self.counts['taken']} taken, {self.replacements} replaced; {faults}"
+        verdict = "holds" if self.ok else "BREAKS " + "; ".join(f"{k}: {v}" for k, v in self.broken.items())
         if not self.valid:
-            word = f"invalid, the lab itself was late; {word}"
-        return f"seed {self.seed}: {word}; {told}"
+            verdict = f"invalid, the lab itself was late; {verdict}"
+        return f"seed {self.seed}: {verdict}; {totals}"
 
 
 def seed_plan(seed: int) -> run_folders.Plan:
-    """A seed's play: its effects of classes, its faults, and a crowd with every fourth one."""
-    played = scenario.load(SCENARIO_NAME)
+    """Return the run of a seed: effects of the classes, faults, pauses, and a crowd for every fourth seed."""
+    soak_scenario = scenario.load(SCENARIO_NAME)
     classes = [
         msgspec.structs.replace(cls, effect=EFFECTS[(at + seed) % len(EFFECTS)])
-        for at, cls in enumerate(played.classes)
+        for at, cls in enumerate(soak_scenario.classes)
     ]
-    played = msgspec.structs.replace(played, classes=classes)
-    adversary = played.adversary or Adversary()
-    faults = fault_schedule.schedule_faults(played, seed)
-    faults += stall_faults(played, seed)
+    soak_scenario = msgspec.structs.replace(soak_scenario, classes=classes)
+    adversary = soak_scenario.adversary or Adversary()
+    faults = fault_schedule.schedule_faults(soak_scenario, seed)
+    faults += stall_faults(soak_scenario, seed)
     if seed % CROWD_SEED_PERIOD == 0:
-        faults.append(crowd_fault(played, seed, adversary.from_s))
-    return run_folders.Plan(SCENARIO_NAME, played, seed, faults)
+        faults.append(crowd_fault(soak_scenario, seed, adversary.from_s))
+    return run_folders.Plan(SCENARIO_NAME, soak_scenario, seed, faults)
 
 
-def stall_faults(played: Scenario, seed: int) -> list[Fault]:
-    """Moments in which a relay stands still, as long as the acceptance page asks it to bear."""
+def stall_faults(soak_scenario: Scenario, seed: int) -> list[Fault]:
+    """Draw short pauses of relays, as long as the acceptance page asks them to bear."""
     rng = np.random.default_rng([seed, STALL_RNG_STREAM])
     return [
         Fault(
-            kind="pause", at_s=float(rng.uniform(1.0, played.seconds - 1.0)), for_s=STALL_S,
-            on=[str(rng.choice(played.relay_names))],
+            kind="pause", at_s=float(rng.uniform(1.0, soak_scenario.seconds - 1.0)), for_s=STALL_S,
+            on=[str(rng.choice(soak_scenario.relay_names))],
         )
         for _ in range(STALL_COUNT)
     ]  # fmt: skip
 
 
-def crowd_fault(played: Scenario, seed: int, from_s: float) -> Fault:
-    """Idle clients that take up nearly all descriptors of a relay."""
-    relay = played.relay_names[seed // CROWD_SEED_PERIOD % played.relays]
-    connections = int(CROWD_SHARE * played.sockets)
+def crowd_fault(soak_scenario: Scenario, seed: int, from_s: float) -> Fault:
+    """Return a crowd of idle clients that takes up most descriptors of one relay."""
+    relay = soak_scenario.relay_names[seed // CROWD_SEED_PERIOD % soak_scenario.relays]
+    connections = int(CROWD_SHARE * soak_scenario.sockets)
     return Fault(kind="crowd", at_s=from_s, for_s=CROWD_S, on=[relay], connections=connections)
 
 
 def play_seed(seed: int, out: Path) -> SeedResult:
-    """Play one seed into a folder of its own."""
+    """Play and check the run of one seed in a folder of its own."""
     folder = out / f"{SCENARIO_NAME}-{seed}"
     try:
         result = run_folders.play(seed_plan(seed), folder, lambda _: None)
@@ -110,8 +111,8 @@
 
 
 def play_seeds(seeds: Iterable[int], out: Path, jobs: int) -> Iterator[SeedResult]:
-    """Play seeds, some at once; each as it comes to its end, in the order of the seeds."""
-    deploy_command()  # built once, and not by all at once
+    """Play the runs of seeds, ``jobs`` at once, and yield their results in the order of the seeds."""
+    deploy_command()  # builds once, before processes would do so at the same time
     with ProcessPoolExecutor(
         jobs, mp_context=get_context("spawn"), initializer=die_with_parent, initargs=(os.getpid(),)
     ) as pool:
