--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -138,7 +138,9 @@
     as_json: Json = False,
 ) -> None:
     """Play a scenario with real processes and check its history."""
-    plan = run_folders.make_plan(Path(name).stem, scenario.load(name, relays=relays, per_s=load), seed)
+    plan = run_folders.make_plan(
+        Path(name).stem, scenario.load_scenario(name, relays=relays, per_s=load), seed
+    )
     folder = out or default_out(name, seed)
     with interruptible(), progress_output() as say:
         result = run_folders.play(plan, folder, say)
@@ -148,7 +150,7 @@
 @app.command(name="list")
 def list_scenarios(as_json: Json = False) -> None:
     """The project's scenarios."""
-    found = {name: scenario.load(name) for name in scenario.scenario_names()}
+    found = {name: scenario.load_scenario(name) for name in scenario.scenario_names()}
     if as_json:
         print(msgspec.json.encode({name: item.about for name, item in found.items()}).decode())
         return
@@ -162,7 +164,7 @@
     seed: Annotated[int, typer.Option(min=0)] = 1,
 ) -> None:
     """Three relays, one killed with work in hand: a table of what became of it, and a page."""
-    plan = run_folders.make_plan("demo", scenario.load("demo"), seed)
+    plan = run_folders.make_plan("demo", scenario.load_scenario("demo"), seed)
     with interruptible(), progress_output() as say:
         result = run_folders.play(plan, out, say)
     code = print_result(result, out, as_json=False)
@@ -246,7 +248,7 @@
         for size in parse_numbers(relays, "--relays"):
             results = []
             for seed in parse_numbers(seeds, "--seeds"):
-                played = scenario.load(name, relays=size, per_s=min(most, each * size))
+                played = scenario.load_scenario(name, relays=size, per_s=min(most, each * size))
                 plan = run_folders.make_plan(Path(name).stem, played, seed)
                 with interruptible(), progress_output() as say:
                     results.append(run_folders.play(plan, out / f"{plan.name}-{size}-{seed}", say))
--- a/fleetlab/soak.py
+++ b/fleetlab/soak.py
@@ -59,7 +59,7 @@
 
 def seed_plan(seed: int) -> run_folders.Plan:
     """Return the run of a seed: effects of the classes, faults, pauses, and a crowd for every fourth seed."""
-    soak_scenario = scenario.load(SCENARIO_NAME)
+    soak_scenario = scenario.load_scenario(SCENARIO_NAME)
     classes = [
         msgspec.structs.replace(cls, effect=EFFECTS[(at + seed) % len(EFFECTS)])
         for at, cls in enumerate(soak_scenario.classes)
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -57,7 +57,7 @@
     path = tmp_path / "bad.toml"
     path.write_text(text)
     with pytest.raises(scenario.ScenarioError) as error:
-        scenario.load(str(path))
+        scenario.load_scenario(str(path))
     assert str(error.value).startswith("bad.toml: ")
     assert words in str(error.value)
     assert "\n" not in str(error.value)
@@ -88,8 +88,8 @@
     """All of them, also with another number of relays."""
     assert {"calm", "kill-one"} <= set(scenario.scenario_names())
     for name in scenario.scenario_names():
-        assert scenario.load(name).about
-        assert scenario.load(name, relays=40).relays == 40
+        assert scenario.load_scenario(name).about
+        assert scenario.load_scenario(name, relays=40).relays == 40
 
 
 def test_a_program_takes_over_a_template_and_keeps_what_it_sets_itself() -> None:
