--- a/fleetlab/run_folders.py
+++ b/fleetlab/run_folders.py
@@ -1,4 +1,4 @@
-"""Runs as folders: play one, check one again, compare two, and shrink one that fails."""
+"""Folders of runs: play a run into one, check it again, compare two, and shrink one that fails."""
 
 from __future__ import annotations
 
@@ -20,24 +20,23 @@
 from fleetlab.scenario import Fault, Scenario
 from standins import records
 
-HISTORY_FILE, RESULT_FILE, FAULTS_FILE, PLAN_FILE = (
-    "history.jsonl",
-    "result.json",
-    "faults.json",
-    "scenario.json",
-)
-LOG_FILE, REPORT_FILE = "lab.log", "report.html"
-MAX_SHRINK_RUNS = 40
+HISTORY_FILE = "history.jsonl"
+RESULT_FILE = "result.json"
+FAULTS_FILE = "faults.json"
+PLAN_FILE = "scenario.json"
+LOG_FILE = "lab.log"
+REPORT_FILE = "report.html"
+MAX_SHRINK_RUNS = 40  # by default
 ProgressCallback = Callable[[str], None]
 
 
 class RunError(ValueError):
-    """A folder that holds no run, or one that is in the way."""
+    """A folder that holds no run, or that cannot be used for a new one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that a run is played by."""
+    """Everything that determines a run; ``name`` is the scenario's."""
 
     name: str
     scenario: Scenario
@@ -46,14 +45,15 @@
 
 
 def make_plan(name: str, scenario: Scenario, seed: int) -> Plan:
-    """A scenario's run with that seed."""
+    """Return the plan of a scenario's run with a seed, with all faults drawn."""
     return Plan(name, scenario, seed, fault_schedule.schedule_faults(scenario, seed))
 
 
-def play(plan: Plan, out: Path, say: ProgressCallback) -> Result:
-    """Play a run into a folder, which must be new or an earlier run's; its result.
+def play(plan: Plan, out: Path, report_progress: ProgressCallback) -> Result:
+    """Play a run into a folder and return its result.
 
-    ``FleetError`` where the fleet does not come up, ``RunError`` where the folder is something else.
+    The folder must not exist, be empty, or hold an earlier run, which is deleted; or else raise ``RunError``.
+    Raise ``FleetError`` if the fleet does not come up.
     """
     if out.exists():
         if any(out.iterdir()) and not (out / PLAN_FILE).exists():
@@ -69,16 +69,16 @@
             processors=[structlog.processors.TimeStamper("iso"), structlog.processors.JSONRenderer()],
         )
 
-        def both(text: str) -> None:
+        def log_and_report(text: str) -> None:
             log.msg(text)
-            say(text)
+            report_progress(text)
 
-        asyncio.run(Lab(plan.scenario, plan.seed, out, plan.faults, both).play())
+        asyncio.run(Lab(plan.scenario, plan.seed, out, plan.faults, log_and_report).play())
     return check(out)
 
 
 def write_report(folder: Path) -> Path:
-    """Write a run's page, and tell where it is."""
+    """Write the report of a run and return its path."""
     run, result, found = judge_folder(folder)
     path = folder / REPORT_FILE
     path.write_text(render_page(run, result, found), encoding="utf-8")
@@ -86,7 +86,7 @@
 
 
 class PlanFile(msgspec.Struct):
-    """``scenario.json`` of a run."""
+    """Contents of ``scenario.json``."""
 
     name: str
     seed: int
@@ -94,7 +94,7 @@
 
 
 def read_plan(folder: Path) -> Plan:
-    """The plan of a folder's run; ``RunError`` where there is none."""
+    """Read the plan of a folder's run; raise ``RunError`` if there is none."""
     try:
         plan = msgspec.json.decode((folder / PLAN_FILE).read_bytes(), type=PlanFile)
         faults = msgspec.json.decode((folder / FAULTS_FILE).read_bytes(), type=list[Fault])
@@ -106,103 +106,112 @@
 
 
 def read_run(folder: Path) -> Run:
-    """A folder's history; ``RunError`` or ``records.HistoryError`` where it cannot be read."""
+    """Read a folder's history; raise ``RunError`` or ``records.HistoryError`` if it cannot be read."""
     return Run(records.read_history(folder / HISTORY_FILE))
 
 
 def judge_folder(folder: Path) -> tuple[Run, Result, dict[str, list[Finding]]]:
-    """A folder's history with what the checkers say of it."""
+    """Read a folder's history and check it; return it with its result and all findings."""
     run = read_run(folder)
-    result, found = judge_run(run, read_plan(folder).name)
-    return run, result, found
+    result, findings = judge_run(run, read_plan(folder).name)
+    return run, result, findings
 
 
 def check(folder: Path) -> Result:
-    """Judge a folder's history, and keep the result beside it."""
+    """Check a folder's history again, and write the result to ``result.json``."""
     _, result, _ = judge_folder(folder)
     (folder / RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
     return result
 
 
 def failed_checks(result: Result) -> frozenset[str]:
-    """The names of the checks that do not hold."""
+    """Return the names of the checks that failed."""
     return frozenset(name for name, item in result.checks.items() if not item.ok)
 
 
 def shrink(
-    folder: Path, out: Path, say: ProgressCallback, runs: int = MAX_SHRINK_RUNS
+    folder: Path, out: Path, report_progress: ProgressCallback, runs: int = MAX_SHRINK_RUNS
 ) -> tuple[list[Fault], int]:
-    """The smallest list of faults found with which one of a run's failed checks still fails, and its runs.
+    """Search for a minimal list of faults with which one of a run's failed checks still fails.
 
-    It leaves halves and then single faults out (delta debugging, Zeller and Hildebrandt 2002), each tried
-    once: a failure that comes only now and then may shrink to more than its cause.
+    Return the faults and how many runs the search took, and leave a run with them in ``out``. The search
+    leaves out halves and then ever smaller parts (delta debugging, Zeller and Hildebrandt 2002). Each list is
+    tried once, so that a failure that occurs only sometimes may shrink to more than its cause.
     """
-    plan, wanted = read_plan(folder), failed_checks(check(folder))
-    if not wanted:
+    plan, failed_before = read_plan(folder), failed_checks(check(folder))
+    if not failed_before:
         raise RunError(f"{folder}: nothing failed there")
     played = 0
 
     def fails(faults: Sequence[Fault]) -> bool:
         nonlocal played
         played += 1
-        say(f"run {played}: {len(faults)} faults")
+        report_progress(f"run {played}: {len(faults)} faults")
         try:
             result = play(Plan(plan.name, plan.scenario, plan.seed, list(faults)), out, lambda _: None)
         except FleetError as error:
-            say(f"run {played} did not come up: {error}")
+            report_progress(f"run {played} did not come up: {error}")
             return False
-        return bool(failed_checks(result) & wanted)
+        return bool(failed_checks(result) & failed_before)
 
-    found = minimize_faults(plan.faults, fails, lambda: played >= runs)
-    final = Plan(plan.name, plan.scenario, plan.seed, found)
+    smallest = minimize_faults(plan.faults, fails, lambda: played >= runs)
+    final = Plan(plan.name, plan.scenario, plan.seed, smallest)
     play(final, out, lambda _: None)
-    return found, played
+    return smallest, played
 
 
 def minimize_faults(
-    faults: list[Fault], fails: Callable[[Sequence[Fault]], bool], enough: Callable[[], bool]
+    faults: list[Fault], fails: Callable[[Sequence[Fault]], bool], should_stop: Callable[[], bool]
 ) -> list[Fault]:
-    """A list from which no tried part can be left out without the failure going away."""
-    rest, pieces = list(faults), 2
-    if rest and fails([]):
+    """Return a list of faults that still fails, and from which no tried part can be left out.
+
+    ``should_stop`` tells when to stop searching.
+    """
+    remaining, pieces = list(faults), 2
+    if remaining and fails([]):
         return []
-    while len(rest) >= 2 and not enough():
-        size = -(-len(rest) // pieces)
-        for at in range(0, len(rest), size):
-            without = rest[:at] + rest[at + size :]
-            if enough():
-                return rest
+    while len(remaining) >= 2 and not should_stop():
+        size = -(-len(remaining) // pieces)
+        for at in range(0, len(remaining), size):
+            without = remaining[:at] + remaining[at + size :]
+            if should_stop():
+                return remaining
             if fails(without):
-                rest, pieces = without, max(pieces - 1, 2)
+                remaining, pieces = without, max(pieces - 1, 2)
                 break
         else:
             if size == 1:
                 break
-            pieces = min(len(rest), pieces * 2)
-    return rest
+            pieces = min(len(remaining), pieces * 2)
+    return remaining
 
 
 def compare_figures(first: Path, second: Path) -> list[tuple[str, float, float]]:
-    """Two runs' figures by name: counts, worth, latency of what was delivered, and cost."""
-    one, other = run_figures(first), run_figures(second)
-    return [(name, one.get(name, 0.0), other.get(name, 0.0)) for name in dict.fromkeys([*one, *other])]
+    """Return the figures of two runs by name; a figure that one of them lacks is 0."""
+    first_figures, second_figures = run_figures(first), run_figures(second)
+    return [
+        (name, first_figures.get(name, 0.0), second_figures.get(name, 0.0))
+        for name in dict.fromkeys([*first_figures, *second_figures])
+    ]
 
 
 def run_figures(folder: Path) -> dict[str, float]:
-    """What a run comes to, in numbers."""
+    """Return a run's figures by name: counts, worth, latencies of delivered messages, and cost."""
     run, result, _ = judge_folder(folder)
-    took_ms = sorted(
-        took_s * 1000 for trace in run.traces.values() if (took_s := trace.latency_s) is not None
+    latencies_ms = sorted(
+        latency_s * 1000 for trace in run.traces.values() if (latency_s := trace.latency_s) is not None
     )
-    found: dict[str, float] = dict(result.counts)
-    found["broken checks"] = len(failed_checks(result))
-    found["worth in aim"] = result.worth
+    figures: dict[str, float] = dict(result.counts)
+    figures["broken checks"] = len(failed_checks(result))
+    figures["worth in aim"] = result.worth
     for share in (0.5, 0.9, 0.99):
-        found[f"latency {share:.0%} ms"] = round(took_ms[int(share * (len(took_ms) - 1))]) if took_ms else 0
+        figures[f"latency {share:.0%} ms"] = (
+            round(latencies_ms[int(share * (len(latencies_ms) - 1))]) if latencies_ms else 0
+        )
     taken = max(1, result.counts["taken"])
-    found["relays' cpu ms a message"] = round(result.relays_cpu_s * 1000 / taken, 2)
-    found["lab's cpu ms a message"] = round(result.lab_cpu_s * 1000 / taken, 2)
-    return found
+    figures["relays' cpu ms a message"] = round(result.relays_cpu_s * 1000 / taken, 2)
+    figures["lab's cpu ms a message"] = round(result.lab_cpu_s * 1000 / taken, 2)
+    return figures
 
 
 TABLE_HEADING = (
@@ -212,18 +221,19 @@
 
 
 def table_row(results: list[Result]) -> str:
-    """A line of the table: counts summed over all seeds, the spread of the rest, what did not hold."""
-    sums = {name: sum(item.counts[name] for item in results) for name in results[0].counts}
-    worth = [item.worth for item in results]
-    recover = [item.recover_s for item in results if item.recover_s is not None]
+    """Return a row of the table: sums of counts, ranges of other figures, and violations, over all seeds."""
+    sum_by_count = {name: sum(result.counts[name] for result in results) for name in results[0].counts}
+    worth = [result.worth for result in results]
+    recovery_s = [result.recover_s for result in results if result.recover_s is not None]
     broken: Counter[str] = Counter()
-    for item in results:
-        broken.update({name: check.count for name, check in item.checks.items() if not check.ok})
-    said = [f"{name} {count}" for name, count in sorted(broken.items())]
-    said += ["invalid"] * sum(not item.valid for item in results)
+    for result in results:
+        broken.update({name: check.count for name, check in result.checks.items() if not check.ok})
+    verdicts = [f"{name} {count}" for name, count in sorted(broken.items())]
+    verdicts += ["invalid"] * sum(not result.valid for result in results)
     cells = [
-        results[0].scenario, results[0].relays, *(sums[name] for name in TABLE_COUNTS),
-        format_range(worth, 2), format_range(recover, 1) if recover else "-", ", ".join(said) or "hold",
+        results[0].scenario, results[0].relays, *(sum_by_count[name] for name in TABLE_COUNTS),
+        format_range(worth, 2), format_range(recovery_s, 1) if recovery_s else "-",
+        ", ".join(verdicts) or "hold",
     ]  # fmt: skip
     return f"| {' | '.join(map(str, cells))} |"
 
@@ -232,6 +242,6 @@
 
 
 def format_range(values: list[float], decimals: int) -> str:
-    """Least and most."""
+    """Format the minimum and maximum of values, or the value if they are the same."""
     low, high = f"{min(values):.{decimals}f}", f"{max(values):.{decimals}f}"
     return low if low == high else f"{low} to {high}"
