--- a/fleetlab/report.py
+++ b/fleetlab/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: one page that needs nothing else, made from its history alone."""
+"""The report of a run: a self-contained HTML page, made from the history alone."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from fleetlab.checks import Finding, Result, Run, destination_spec, outcome_of
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-MAX_LATENCY_MS = 120_000
-MAX_RELAY_LINES = 5  # relays that get a line each
-MAX_SHOWN_FINDINGS = 10  # findings of one checker
+MAX_LATENCY_MS = 120_000  # upper bound of the histograms; longer latencies count as this
+MAX_RELAY_LINES = 5  # with more relays the chart has no line for each of them
+MAX_SHOWN_FINDINGS = 10  # for each checker
 COLOURS = {"served": "#2a7f62", "refused": "#d9a441", "failed": "#b3402e", "lost": "#5b1a6b"}
 STYLE = """
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2em auto; max-width: 70em; padding: 0 1em; color: #222 }
@@ -28,8 +28,8 @@
 """
 
 
-def render_page(run: Run, result: Result, found: dict[str, list[Finding]]) -> str:
-    """The page's HTML."""
+def render_page(run: Run, result: Result, findings: dict[str, list[Finding]]) -> str:
+    """Return the HTML of the page."""
     verdict = "all checks hold" if result.ok else "a check failed"
     if not result.valid:
         verdict = f"invalid: the lab itself came {result.lab_late_s:.2f} s late"
@@ -42,7 +42,9 @@
         f'<img alt="time lines" src="data:image/png;base64,{timeline_png(run)}">',
         "<h2>Checks</h2>",
         html_table(
-            ["check", "breaks", "first"], [check_row(name, some) for name, some in found.items()], words=(2,)
+            ["check", "breaks", "first"],
+            [check_row(name, check_findings) for name, check_findings in findings.items()],
+            words=(2,),
         ),
         "<h2>Latency</h2><p>From when a message first came up until its delivery, in milliseconds.</p>",
         html_table(
@@ -71,7 +73,7 @@
 
 
 def html_table(names: list[str], lines: list[list[str]], words: tuple[int, ...] = ()) -> str:
-    """A table; columns in ``words`` hold text."""
+    """Return an HTML table; the columns with indexes in ``words`` hold text and are aligned left."""
 
     def cell(tag: str, at: int, text: str) -> str:
         kind = ' class="words"' if at in words else ""
@@ -84,66 +86,78 @@
     return f"<table><tr>{head}</tr>{body}</table>"
 
 
-def check_row(name: str, some: list[Finding]) -> list[str]:
-    """A checker's row."""
-    shown = "; ".join(f"{finding.time_s:.2f} s: {finding.text}" for finding in some[:MAX_SHOWN_FINDINGS])
-    return [name, str(len(some)), shown if some else "holds"]
+def check_row(name: str, findings: list[Finding]) -> list[str]:
+    """Return the row of a checker."""
+    shown = "; ".join(f"{finding.time_s:.2f} s: {finding.text}" for finding in findings[:MAX_SHOWN_FINDINGS])
+    return [name, str(len(findings)), shown if findings else "holds"]
 
 
 def fault_row(t: float, fault: object) -> list[str]:
-    """A fault's row."""
+    """Return the row of a fault record, which began or ended at ``t``."""
     phase, on, note = (getattr(fault, name) for name in ("phase", "on", "note"))
     return [f"{t:.2f} s", phase, ", ".join(on), note]
 
 
 def latency_rows(run: Run) -> list[list[str]]:
-    """By class: delivered messages and percentiles, by a high dynamic range histogram."""
-    table = []
+    """Return a row for each class: its delivered messages and percentiles of their latency in ms.
+
+    Percentiles come from a high dynamic range histogram with three significant digits.
+    """
+    rows = []
     for name in run.classes:
         histogram = HdrHistogram(1, MAX_LATENCY_MS, 3)
         for trace in run.traces.values():
-            took_s = trace.latency_s
-            if trace.submission.cls == name and took_s is not None:
-                histogram.record_value(min(MAX_LATENCY_MS, max(1, round(took_s * 1000))))
+            latency_s = trace.latency_s
+            if trace.submission.cls == name and latency_s is not None:
+                histogram.record_value(min(MAX_LATENCY_MS, max(1, round(latency_s * 1000))))
         count = histogram.get_total_count()
         values = [str(histogram.get_value_at_percentile(item)) if count else "-" for item in PERCENTILES]
-        table.append([name, str(count), *values, str(histogram.get_max_value()) if count else "-"])
-    return table
+        rows.append([name, str(count), *values, str(histogram.get_max_value()) if count else "-"])
+    return rows
 
 
 def relay_rows(run: Run) -> list[list[str]]:
-    """Who did what."""
-    table = []
+    """Return a row for each relay: lives, messages by outcome, calls and cost."""
+    rows = []
     for relay in run.head.relays:
-        some = [trace for trace in run.traces.values() if trace.submission.relay == relay]
-        ends = Counter(outcome_of(trace) for trace in some)
+        traces = [trace for trace in run.traces.values() if trace.submission.relay == relay]
+        outcomes = Counter(outcome_of(trace) for trace in traces)
         calls = sum(attempt.relay == relay for attempt in run.attempts)
         used = run.usage_by_process.get(relay)
         numbers = [
-            len(run.lives.get(relay, [])), sum(trace.accepted for trace in some), ends["delivered"],
-            ends["refused"], ends["failed"], ends["lost"], calls,
+            len(run.lives.get(relay, [])), sum(trace.accepted for trace in traces), outcomes["delivered"],
+            outcomes["refused"], outcomes["failed"], outcomes["lost"], calls,
         ]  # fmt: skip
         cost = [f"{used.cpu_s:.1f}", f"{used.peak_mb:.0f}"] if used else ["-", "-"]
-        table.append([relay, *map(str, numbers), *cost])
-    return table
+        rows.append([relay, *map(str, numbers), *cost])
+    return rows
 
 
 def endpoint_rows(run: Run) -> list[list[str]]:
-    """What each endpoint saw, and how much of its destination's limit its calls used while the load ran."""
-    table = []
+    """Return a row for each endpoint: its calls by outcome, and how much of its limit they used.
+
+    That is the rate of delivered calls while the load ran, as a share of the destination's limit.
+    """
+    rows = []
     seconds = max(1e-9, run.phase_times.get("rest", run.end_s))
     for host, dest in run.head.endpoints.items():
-        some = [attempt for attempt in run.attempts if attempt.host == host]
-        ends = Counter(attempt.outcome for attempt in some)
+        attempts = [attempt for attempt in run.attempts if attempt.host == host]
+        outcomes = Counter(attempt.outcome for attempt in attempts)
         limit = destination_spec(run, dest).limit_per_s
-        used = f"{ends['delivered'] / seconds / limit:.0%}" if limit else "no limit"
-        numbers = [len(some), ends["delivered"], ends["failed"], ends["refused"], ends[""]]
-        table.append([host, *map(str, numbers), used])
-    return table
+        used = f"{outcomes['delivered'] / seconds / limit:.0%}" if limit else "no limit"
+        numbers = [
+            len(attempts),
+            outcomes["delivered"],
+            outcomes["failed"],
+            outcomes["refused"],
+            outcomes[""],
+        ]
+        rows.append([host, *map(str, numbers), used])
+    return rows
 
 
 def timeline_png(run: Run) -> str:
-    """The time lines as a PNG in base64: ends by second, messages in hand, latency, faults."""
+    """Return the charts over time as a PNG in base64: outcomes, open messages, latency and faults."""
     with mpl.rc_context({"font.size": 9}):
         figure = Figure(figsize=(12, 9), layout="constrained")
         axes = figure.subplots(4, 1, sharex=True, height_ratios=[3, 2, 2, 2])
@@ -157,17 +171,17 @@
 
 
 def draw_ends(run: Run, axis: Axes) -> None:
-    """Ends by the second in which they came; a lost message stands where its time was up."""
+    """Draw the outcomes of messages by second; a lost message is drawn at its deadline."""
     seconds = range(int(run.end_s) + 1)
     counts: dict[str, Counter[int]] = {name: Counter() for name in COLOURS}
     for trace in run.traces.values():
-        word = outcome_of(trace)
-        when = trace.deadline_s if word == "lost" else trace.ended_s
-        if when is None:
-            when = trace.client_answer.t if trace.client_answer is not None else trace.submission.t
-        name = {"delivered": "served", "unanswered": "refused"}.get(word, word)
-        if name in counts and 0 <= when <= run.end_s:
-            counts[name][int(when)] += 1
+        outcome = outcome_of(trace)
+        time_s = trace.deadline_s if outcome == "lost" else trace.ended_s
+        if time_s is None:
+            time_s = trace.client_answer.t if trace.client_answer is not None else trace.submission.t
+        name = {"delivered": "served", "unanswered": "refused"}.get(outcome, outcome)
+        if name in counts and 0 <= time_s <= run.end_s:
+            counts[name][int(time_s)] += 1
     bottom = [0] * len(seconds)
     for name, colour in COLOURS.items():
         values = [counts[name][second] for second in seconds]
@@ -178,10 +192,10 @@
 
 
 def draw_in_hand(run: Run, axis: Axes) -> None:
-    """Messages that relays had taken and not ended, all together and by relay where they are few."""
+    """Draw how many accepted messages had not ended, of all relays and, if there are few, of each."""
     traces = [trace for trace in run.traces.values() if trace.accepted]
-    few = run.head.relays if len(run.head.relays) <= MAX_RELAY_LINES else []
-    for label in ["all", *few]:
+    shown_relays = run.head.relays if len(run.head.relays) <= MAX_RELAY_LINES else []
+    for label in ["all", *shown_relays]:
         steps = []
         for trace in traces:
             if label in ("all", trace.submission.relay):
@@ -199,18 +213,18 @@
 
 
 def draw_latency(run: Run, axis: Axes) -> None:
-    """Each delivery, by when its message first came up."""
+    """Draw the latency of each delivery at the time when its message first came up."""
     points = [
-        (trace.submission.first, max(1e-3, took_s))
+        (trace.submission.first, max(1e-3, latency_s))
         for trace in run.traces.values()
-        if (took_s := trace.latency_s) is not None
+        if (latency_s := trace.latency_s) is not None
     ]
     axis.semilogy([t for t, _ in points], [took for _, took in points], ".", markersize=2.5, color="#33658a")
     axis.set_ylabel("seconds to delivery")
 
 
 def draw_faults(run: Run, axis: Axes) -> None:
-    """A bar for each fault on each of its targets."""
+    """Draw a bar for each fault on each of its targets."""
     for row, span in enumerate(run.fault_spans):
         until = min(span.until_s, run.end_s)
         axis.barh(row, max(0.05, until - span.since_s), left=span.since_s, color="#b3402e", alpha=0.6)
