--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m fleetlab``: play scenarios, check and report runs.
+"""The command line, ``python -m fleetlab``: plays scenarios, checks and reports runs.
 
-Exit 0: all holds, 1: a check failed or the run is invalid, 2: wrong use.
+Exit codes: 0 if everything holds, 1 if a check failed or a run is invalid, 2 for wrong use, 130 on an interrupt.
 """
 
 from __future__ import annotations
@@ -29,8 +29,11 @@
 from fleetlab.sim import model, quorum
 from standins.records import HistoryError
 
-EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_INTERRUPTED = 0, 1, 2, 130
-REPORT_WIDTH = 160  # characters of a table that goes to a file
+EXIT_OK = 0
+EXIT_FAILED = 1  # a check failed or a run is invalid
+EXIT_USAGE = 2
+EXIT_INTERRUPTED = 130  # as a shell reports a process that SIGINT ended
+REPORT_WIDTH = 160  # characters of a table that is not written to a terminal
 app = typer.Typer(
     add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False, help="Fleets under faults."
 )
@@ -39,25 +42,28 @@
 
 
 def print_progress(text: str) -> None:
-    """A line of progress, which is no part of the result."""
+    """Print a line of progress to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 @contextmanager
 def progress_output() -> Iterator[run_folders.ProgressCallback]:
-    """Progress as it suits standard error: the last line and the time on a terminal, else plain lines."""
+    """Yield a function that reports progress on standard error.
+
+    On a terminal it shows the last line and the time; elsewhere it prints plain lines.
+    """
     if not sys.stderr.isatty():
         yield print_progress
         return
     columns = (SpinnerColumn(), TimeElapsedColumn(), TextColumn("{task.description}"))
-    with Progress(*columns, console=Console(stderr=True), transient=True) as bar:
-        task = bar.add_task("")
-        yield lambda text: bar.update(task, description=text)
+    with Progress(*columns, console=Console(stderr=True), transient=True) as progress:
+        task = progress.add_task("")
+        yield lambda text: progress.update(task, description=text)
 
 
 @contextmanager
 def interruptible() -> Iterator[None]:
-    """An interrupt is one line; by then every process of the fleet is ended."""
+    """Exit with one line on an interrupt; every process of the fleet is ended by then."""
     try:
         yield
     except KeyboardInterrupt:
@@ -66,7 +72,7 @@
 
 
 def print_result(result: Result, folder: Path, as_json: bool) -> int:
-    """Print a result; the exit code."""
+    """Print a result and return the exit code."""
     if as_json:
         print(msgspec.json.encode(result).decode())
     else:
@@ -74,11 +80,11 @@
         console.print(counts_table(result))
         console.print(checks_table(result))
         for name, figures in sorted(result.figures.items()):
-            told = ", ".join(f"{figure} {value:g}" for figure, value in figures.items())
-            console.print(f"{name}: {told}", soft_wrap=True)
-        word = "all checks hold" if result.ok else "a check failed"
+            figures_text = ", ".join(f"{figure} {value:g}" for figure, value in figures.items())
+            console.print(f"{name}: {figures_text}", soft_wrap=True)
+        verdict = "all checks hold" if result.ok else "a check failed"
         console.print(
-            f"{word if result.valid else 'invalid: the lab itself was late'}; the run is in {folder}"
+            f"{verdict if result.valid else 'invalid: the lab itself was late'}; the run is in {folder}"
         )
     return EXIT_OK if result.ok and result.valid else EXIT_FAILED
 
@@ -103,7 +109,7 @@
 
 
 def counts_table(result: Result) -> Table:
-    """What became of the messages."""
+    """Return a table of the counts of a result."""
     table = Table(title=f"{result.scenario}, seed {result.seed}, {result.relays} relays")
     table.add_column("what became of messages")
     table.add_column("", justify="right")
@@ -113,7 +119,7 @@
 
 
 def checks_table(result: Result) -> Table:
-    """What each checker says."""
+    """Return a table of the checks of a result."""
     table = Table()
     for name in ("check", "holds", "breaks", "first"):
         table.add_column(name)
@@ -123,7 +129,7 @@
 
 
 def default_out(name: str, seed: int) -> Path:
-    """Where a run goes if nothing is said."""
+    """Return the folder of a run for which no ``--out`` is given."""
     return Path("found") / f"{Path(name).stem}-{seed}"
 
 
@@ -142,19 +148,19 @@
         Path(name).stem, scenario.load_scenario(name, relays=relays, per_s=load), seed
     )
     folder = out or default_out(name, seed)
-    with interruptible(), progress_output() as say:
-        result = run_folders.play(plan, folder, say)
+    with interruptible(), progress_output() as report_progress:
+        result = run_folders.play(plan, folder, report_progress)
     raise typer.Exit(print_result(result, folder, as_json))
 
 
 @app.command(name="list")
 def list_scenarios(as_json: Json = False) -> None:
     """The project's scenarios."""
-    found = {name: scenario.load_scenario(name) for name in scenario.scenario_names()}
+    scenarios = {name: scenario.load_scenario(name) for name in scenario.scenario_names()}
     if as_json:
-        print(msgspec.json.encode({name: item.about for name, item in found.items()}).decode())
+        print(msgspec.json.encode({name: item.about for name, item in scenarios.items()}).decode())
         return
-    for name, item in found.items():
+    for name, item in scenarios.items():
         print(f"{name:14} {item.relays:3} relays {item.seconds:4.0f} s  {item.about}")
 
 
@@ -165,8 +171,8 @@
 ) -> None:
     """Three relays, one killed with work in hand: a table of what became of it, and a page."""
     plan = run_folders.make_plan("demo", scenario.load_scenario("demo"), seed)
-    with interruptible(), progress_output() as say:
-        result = run_folders.play(plan, out, say)
+    with interruptible(), progress_output() as report_progress:
+        result = run_folders.play(plan, out, report_progress)
     code = print_result(result, out, as_json=False)
     print(f"the page: {run_folders.write_report(out).resolve()}")
     raise typer.Exit(code)
@@ -180,30 +186,30 @@
     out: Annotated[Path, typer.Option(help="Folder of all plays.")] = Path("found") / "soak",
 ) -> None:
     """Play short runs with faults drawn by seed: replacements, signals, kills; exit 1 where a rule breaks."""
-    played = []
+    results = []
     with interruptible():
-        for item in soaking.play_seeds(parse_seed_range(seeds), out, jobs):
-            print(item.summary, flush=True)
-            if not item.ok:
-                print(f"    python -m fleetlab soak --seeds {item.seed}-{item.seed} --jobs 1", flush=True)
-            played.append(item)
-    broken = sum(not item.ok for item in played)
-    invalid = sum(not item.valid for item in played)
-    taken = sum(item.counts.get("taken", 0) for item in played)
-    print(f"{len(played)} seeds, {broken} broken, {invalid} invalid, {taken} messages taken")
+        for result in soaking.play_seeds(parse_seed_range(seeds), out, jobs):
+            print(result.summary, flush=True)
+            if not result.ok:
+                print(f"    python -m fleetlab soak --seeds {result.seed}-{result.seed} --jobs 1", flush=True)
+            results.append(result)
+    broken = sum(not result.ok for result in results)
+    invalid = sum(not result.valid for result in results)
+    taken = sum(result.counts.get("taken", 0) for result in results)
+    print(f"{len(results)} seeds, {broken} broken, {invalid} invalid, {taken} messages taken")
     raise typer.Exit(EXIT_FAILED if broken or invalid else EXIT_OK)
 
 
 def parse_seed_range(text: str) -> range:
-    """The seeds from the first to the last."""
+    """Parse a range of seeds; raise ``typer.BadParameter`` if it is not one."""
     first, _, last = text.partition("-")
     try:
-        found = range(int(first), int(last or first) + 1)
+        seeds = range(int(first), int(last or first) + 1)
     except ValueError:
-        found = range(0)
-    if not found:
+        seeds = range(0)
+    if not seeds:
         raise typer.BadParameter(f"not a first and a last seed: {text!r}", param_hint="--seeds")
-    return found
+    return seeds
 
 
 @app.command()
@@ -221,13 +227,22 @@
     """Two runs side by side: counts, worth, latency and cost."""
     pairs = run_folders.compare_figures(first, second)
     if as_json:
-        print(msgspec.json.encode({name: [one, other] for name, one, other in pairs}).decode())
+        print(
+            msgspec.json.encode(
+                {name: [first_value, second_value] for name, first_value, second_value in pairs}
+            ).decode()
+        )
         return
     table = Table()
     for name in ("", str(first), str(second), "change"):
         table.add_column(name, justify="left" if not name else "right")
-    for name, one, other in pairs:
-        table.add_row(name, f"{one:g}", f"{other:g}", f"{other - one:+g}" if other != one else "")
+    for name, first_value, second_value in pairs:
+        table.add_row(
+            name,
+            f"{first_value:g}",
+            f"{second_value:g}",
+            f"{second_value - first_value:+g}" if second_value != first_value else "",
+        )
     Console().print(table)
 
 
@@ -242,16 +257,18 @@
     out: Annotated[Path, typer.Option(help="Folder of all runs.")] = Path("found") / "table",
 ) -> None:
     """Play scenarios with several seeds and sizes in turn, and print their table in Markdown."""
-    some = list(scenario.scenario_names()) if names == ["all"] else names
+    scenarios = list(scenario.scenario_names()) if names == ["all"] else names
     print(run_folders.TABLE_HEADING)
-    for name in some:
+    for name in scenarios:
         for size in parse_numbers(relays, "--relays"):
             results = []
             for seed in parse_numbers(seeds, "--seeds"):
-                played = scenario.load_scenario(name, relays=size, per_s=min(most, each * size))
-                plan = run_folders.make_plan(Path(name).stem, played, seed)
-                with interruptible(), progress_output() as say:
-                    results.append(run_folders.play(plan, out / f"{plan.name}-{size}-{seed}", say))
+                table_scenario = scenario.load_scenario(name, relays=size, per_s=min(most, each * size))
+                plan = run_folders.make_plan(Path(name).stem, table_scenario, seed)
+                with interruptible(), progress_output() as report_progress:
+                    results.append(
+                        run_folders.play(plan, out / f"{plan.name}-{size}-{seed}", report_progress)
+                    )
             print(run_folders.table_row(results), flush=True)
 
 
@@ -264,15 +281,15 @@
 ) -> None:
     """Play schedules of the quorum's core in the simulator; each one that breaks a rule is a line."""
     with interruptible():
-        found = quorum.campaign(range(seed, seed + schedules), jobs)
-    for number, _, text in found.broken:
+        campaign = quorum.campaign(range(seed, seed + schedules), jobs)
+    for number, _, text in campaign.broken:
         print(f"seed {number}: {text}")
     if keep is not None:
-        first = found.broken[0][0] if found.broken else seed
+        first = campaign.broken[0][0] if campaign.broken else seed
         quorum.kept(first, keep)
         print(f"the history of schedule {first} is in {keep}")
-    print(f"{found.played} schedules, {len(found.broken)} broken: {dict(found.counts)}")
-    raise typer.Exit(EXIT_FAILED if found.broken else EXIT_OK)
+    print(f"{campaign.played} schedules, {len(campaign.broken)} broken: {dict(campaign.counts)}")
+    raise typer.Exit(EXIT_FAILED if campaign.broken else EXIT_OK)
 
 
 @app.command(name="model")
@@ -281,14 +298,14 @@
     jobs: Annotated[int, typer.Option(min=1, help="Processes at once.")] = 4,
 ) -> None:
     """Visit every state of small configurations of leases; a rule that breaks is told with its steps."""
-    some = model.SMALL + (model.LARGER if larger else ())
+    configurations = model.SMALL + (model.LARGER if larger else ())
     broken = 0
     with interruptible(), ProcessPoolExecutor(jobs) as pool:
-        for limits, found in zip(some, pool.map(model.explore, some), strict=True):
-            word = found.rule or "all rules hold"
-            print(f"{found.states:9} states, {found.transitions:9} steps, {word}: {limits}")
-            broken += bool(found.rule)
-            for label in found.trace if found.rule else ():
+        for limits, explored in zip(configurations, pool.map(model.explore, configurations), strict=True):
+            verdict = explored.rule or "all rules hold"
+            print(f"{explored.states:9} states, {explored.transitions:9} steps, {verdict}: {limits}")
+            broken += bool(explored.rule)
+            for label in explored.trace if explored.rule else ():
                 print(f"    {label}")
     raise typer.Exit(EXIT_FAILED if broken else EXIT_OK)
 
@@ -309,22 +326,22 @@
         return
     chosen = subject_named(subject)
     earlier = scaling.load_report(against) if against is not None else None
-    with interruptible(), progress_output() as say:
-        found = scaling.play(chosen, scaling.sizes_of(sizes, chosen), seed, say)
+    with interruptible(), progress_output() as report_progress:
+        report = scaling.play(chosen, scaling.sizes_of(sizes, chosen), seed, report_progress)
     if plot_file is not None:
-        plot.write_plot(found, plot_file)
+        plot.write_plot(report, plot_file)
     if as_json:
-        print(msgspec.json.encode(found).decode())
+        print(msgspec.json.encode(report).decode())
     else:
         console = Console(width=None if sys.stdout.isatty() else REPORT_WIDTH)
-        scaling.show(found, console)
+        scaling.show(report, console)
         if earlier is not None:
-            scaling.compare(earlier, found, console)
-    raise typer.Exit(EXIT_FAILED if found.left_out else EXIT_OK)
+            scaling.compare(earlier, report, console)
+    raise typer.Exit(EXIT_FAILED if report.left_out else EXIT_OK)
 
 
 def parse_numbers(text: str, option: str) -> list[int]:
-    """Whole numbers between commas."""
+    """Parse whole numbers between commas; raise ``typer.BadParameter`` if they are not."""
     try:
         return [int(item) for item in text.split(",")]
     except ValueError:
@@ -345,15 +362,15 @@
 ) -> None:
     """Find the smallest list of faults with which the run still fails."""
     target = out or folder.with_name(f"{folder.name}-small")
-    with interruptible(), progress_output() as say:
-        faults, played = run_folders.shrink(folder, target, say, most)
+    with interruptible(), progress_output() as report_progress:
+        faults, played = run_folders.shrink(folder, target, report_progress, most)
     for fault in faults:
         print(f"{fault.at_s:7.3f} s  {fault_schedule.describe_fault(fault)} on {', '.join(fault.on)}")
     print(f"{len(faults)} faults after {played} runs; the run is in {target}")
 
 
 def main() -> int:
-    """Run a command; wrong use is one line and 2."""
+    """Run a command and return the exit code; wrong use is one line on standard error."""
     try:
         return int(app(standalone_mode=False) or EXIT_OK)
     except typer.Exit as end:
@@ -361,7 +378,7 @@
     except (scenario.ScenarioError, run_folders.RunError, HistoryError, FleetError, ScaleError) as error:
         print(f"fleetlab: {error}", file=sys.stderr)
     except Exception as error:
-        if not hasattr(error, "format_message"):  # typer's and click's own errors of use have it
+        if not hasattr(error, "format_message"):  # only usage errors of typer and click have it
             raise
         print(f"fleetlab: {error.format_message()}", file=sys.stderr)
     return EXIT_USAGE
