--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -1,6 +1,6 @@
 """The command line, ``python -m fleetlab``: plays scenarios, checks and reports runs.
 
-Exit codes: 0 if everything holds, 1 if a check failed or a run is invalid, 2 for wrong use, 130 on an interrupt.
+Exit codes: 0 if everything holds, 1 if a check failed or a run is invalid, 2 for wrong use, 130 on interrupt.
 """
 
 from __future__ import annotations
--- a/fleetlab/scenario.py
+++ b/fleetlab/scenario.py
@@ -161,7 +161,7 @@
     memory_mb: int = 192  # of each relay
     disk_mb: float = 3.0  # of each relay
     calls_out: int = 12  # calls that a relay may have open at once
-    open_cap: int = 175  # messages that a relay may hold at once
+    open_cap: int = 175  # messages that a relay may have open at once
     drain_grace_s: float = 2.0  # how long after it was told a relay may begin calls to a draining endpoint
     most_tries: int = 8  # attempts for a message
 
