--- a/fleetlab/checks/run.py
+++ b/fleetlab/checks/run.py
@@ -78,9 +78,8 @@
         self.list_updates: dict[str, list[records.Told]] = defaultdict(list)
         self.list_changes: list[records.Changed] = []
         self.lives: dict[str, list[Life]] = defaultdict(list)
-        self.replacement_times: dict[str, list[float]] = defaultdict(
-            list
-        )  # by process: when the next one was started
+        # by process: when a replacement was started
+        self.replacement_times: dict[str, list[float]] = defaultdict(list)
         self._last_started_life: dict[str, int] = {}  # by process: the number of the one started last
         self.phase_times: dict[str, float] = {}
         self.usage_by_process: dict[str, records.Used] = {}
--- a/fleetlab/fleet.py
+++ b/fleetlab/fleet.py
@@ -83,20 +83,18 @@
     config: dict[str, Any]
     limits: ProcessLimits
     process: asyncio.subprocess.Process | None = None
-    life: int = 0
+    life: int = 0  # number of its last started process, from 1
     end_requested: bool = False  # whether the lab asked for the end of this life
     past_lives_cpu_s: float = 0.0  # processor time of its lives that are over
-    peak_mb: float = 0.0
+    peak_mb: float = 0.0  # peak resident memory of all lives
     is_ready: bool = False
     reload_when_ready: bool = False  # its configuration changed while it was not ready
     watcher: asyncio.Task[None] | None = None
     replacement: asyncio.subprocess.Process | None = None  # started while the process before still serves
-    change_lock: asyncio.Lock = field(
-        default_factory=asyncio.Lock
-    )  # held while it is ended, replaced or reloaded
-    passed_socket: socket.socket | None = (
-        None  # of clients, where the platform holds it for all its processes
-    )
+    # held while the process is ended, replaced or reloaded
+    change_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    # its listening socket for clients, if the platform holds it for all its processes
+    passed_socket: socket.socket | None = None
 
     @property
     def state_folder(self) -> Path:
--- a/fleetlab/lab_run.py
+++ b/fleetlab/lab_run.py
@@ -461,9 +461,9 @@
         self.history.begin_load(self._clock.now())
         self._clock.restart()
         self._spawn(self._measure_lag())
-        for item in self._scheduled_faults:
-            for name, at_s in item.target_times:
-                self._spawn(self._play_fault(item, name, at_s))
+        for scheduled in self._scheduled_faults:
+            for name, at_s in scheduled.target_times:
+                self._spawn(self._play_fault(scheduled, name, at_s))
         self._report_progress(
             f"{len(messages)} messages in {scenario.seconds:.0f} s, {len(self._scheduled_faults)} faults"
         )
@@ -537,17 +537,18 @@
         task.add_done_callback(self._on_task_done)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        """Keep the error of a task that failed, for ``play`` to raise."""
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self._errors.append(error)
 
-    async def _play_fault(self, item: ScheduledFault, name: str, at_s: float) -> None:
+    async def _play_fault(self, scheduled: ScheduledFault, name: str, at_s: float) -> None:
         """Wait for the time of a fault on one target, then play it until it ends."""
         await asyncio.sleep(max(0.0, at_s - self._clock.now()))
-        fault = item.fault
-        self._record_fault(item, name, "begin")
+        fault = scheduled.fault
+        self._record_fault(scheduled, name, "begin")
         if fault.kind in LINK_FAULTS:
-            await self._apply_link_fault(item, name)
+            await self._apply_link_fault(scheduled, name)
         elif fault.kind in PARTNER_FAULTS:
             await self._apply_partner_fault(fault, name)
         elif fault.kind in PLATFORM_FAULTS:
@@ -556,16 +557,23 @@
             await self._process_faults.play(
                 fault, self.fleet.members[name], partial(self._wait_fault_duration, fault)
             )
-        self._record_fault(item, name, "end")
+        self._record_fault(scheduled, name, "end")
 
-    def _record_fault(self, item: ScheduledFault, name: str, phase: str) -> None:
+    def _record_fault(self, scheduled: ScheduledFault, name: str, phase: str) -> None:
+        """Record the beginning or the end of a fault on a target."""
         now_s = self._clock.now()
         self.history(
             records.Fault(
-                now_s, item.number, item.fault.kind, phase, [name], describe_fault(item.fault), item.fault.to
+                now_s,
+                scheduled.number,
+                scheduled.fault.kind,
+                phase,
+                [name],
+                describe_fault(scheduled.fault),
+                scheduled.fault.to,
             )
         )
-        self._report_progress(f"{now_s:6.1f} s  {describe_fault(item.fault)}: {name} {phase}s")
+        self._report_progress(f"{now_s:6.1f} s  {describe_fault(scheduled.fault)}: {name} {phase}s")
 
     @staticmethod
     async def _wait_fault_duration(fault: Fault) -> None:
@@ -596,8 +604,9 @@
             return "partners"
         return "relays" if name in self._addresses else name
 
-    async def _apply_link_fault(self, item: ScheduledFault, name: str) -> None:
-        fault = item.fault
+    async def _apply_link_fault(self, scheduled: ScheduledFault, name: str) -> None:
+        """Reset or impair the links of a process until the fault ends."""
+        fault = scheduled.fault
         links = list(self._links_between(name, fault.to))
         if fault.kind == "reset":
             for link in links:
@@ -608,7 +617,7 @@
             cut=fault.kind == "cut", delay_s=fault.delay_ms / 1000, jitter_s=fault.jitter_ms / 1000,
             bytes_per_s=fault.bytes_per_s, lost=fault.lost, doubled=fault.doubled, reordered=fault.reordered,
         )  # fmt: skip
-        number = item.number * SEED_STRIDE + stable_hash(name)
+        number = scheduled.number * SEED_STRIDE + stable_hash(name)
         for link in links:
             # A fault's direction is seen from its target, a link's from its caller: turn it around where the
             # target is the called side, as a relay is for its clients.
@@ -624,6 +633,7 @@
                 link.remove(number)
 
     async def _apply_partner_fault(self, fault: Fault, host: str) -> None:
+        """Play a fault on an endpoint until it ends, then restore what was before."""
         endpoint = self.endpoints[host]
         endpoint_faults, destination = endpoint.destination.faults_by_host[host], endpoint.destination
         if fault.kind == "partner-down":
@@ -664,6 +674,7 @@
             )
 
     async def _apply_platform_fault(self, fault: Fault) -> None:
+        """Play a fault of discovery until it ends."""
         state = self.platform.state
         if fault.kind == "list-gone":
             self.platform.begin_outage()
--- a/fleetlab/lease_load.py
+++ b/fleetlab/lease_load.py
@@ -58,6 +58,7 @@
         self._record_answer(self._renewal_latencies, asked_us)
 
     def _record_answer(self, histogram: HdrHistogram, asked_us: int) -> None:
+        """Record a latency, and the gap since the answer before if it is long."""
         answered_us = now_us()
         histogram.record_value(max(1, min(MAX_LATENCY_US, answered_us - asked_us)))
         gap_ms = (answered_us - self._last_answer_us) / 1000
@@ -87,9 +88,9 @@
 class Holder:
     """One holder of a lease."""
 
-    def __init__(self, config: dict[str, Any], number: int, tally: LoadStatistics) -> None:
+    def __init__(self, config: dict[str, Any], number: int, statistics: LoadStatistics) -> None:
         members = {name: parse_address(text) for name, text in config["members"].items()}
-        self._client, self._statistics = Client(members, f"{config['name']}-{number}"), tally
+        self._client, self._statistics = Client(members, f"{config['name']}-{number}"), statistics
         self._ttl_ms, self._hold_s = int(config["ttl_ms"]), int(config["hold_ms"]) / 1000
         is_shared = config["lease"] == "one"
         self._lease = "one" if is_shared else f"{config['name']}-{number}"
@@ -107,6 +108,7 @@
                 await asyncio.sleep(random.uniform(0.05, 0.2))
 
     async def _hold_once(self) -> None:
+        """Acquire the lease and hold it for ``hold_ms``, or by renewals until one fails."""
         if not self._client.has_session:
             await self._client.open(REQUEST_TIMEOUT_S)
         asked_us, within_s = now_us(), REQUEST_TIMEOUT_S + self._wait_ms / 1000
--- a/fleetlab/scripted_relay.py
+++ b/fleetlab/scripted_relay.py
@@ -99,6 +99,7 @@
             writer.close()
 
     def _usable_hosts(self, dest: int) -> list[str]:
+        """Return the serving endpoints of a destination, unless a planted bug says otherwise."""
         return [
             name
             for name, entry in self.hosts.items()
