--- a/fleetlab/checks/run.py
+++ b/fleetlab/checks/run.py
@@ -203,10 +203,10 @@
                     begun[fault.number, name] = fault
                 elif (start := begun.pop((fault.number, name), None)) is not None:
                     spans.append(FaultSpan(fault.kind, name, start.t, fault.t, fault.to))
-        lasted = [
-            FaultSpan(some.kind, name, some.t, float("inf"), some.to) for (_, name), some in begun.items()
+        not_ended = [
+            FaultSpan(start.kind, name, start.t, float("inf"), start.to) for (_, name), start in begun.items()
         ]
-        return spans + lasted
+        return spans + not_ended
 
     def max_lag_within(self, since_s: float, until_s: float) -> float:
         """Return the maximal delay of the lab's own event loop in seconds within a time span."""
@@ -237,9 +237,9 @@
         as told is ignored if the relay has been told of a later version of the list by then.
         """
         updates = [
-            (told.t, told.seq, told.hosts.get(host, "DELETED") == "SERVING")
-            for told in self.list_updates[relay]
-            if host in told.hosts or told.whole
+            (update.t, update.seq, update.hosts.get(host, "DELETED") == "SERVING")
+            for update in self.list_updates[relay]
+            if host in update.hosts or update.whole
         ]
         for change in self.list_changes:
             if host in change.hosts:
--- a/fleetlab/lab_run.py
+++ b/fleetlab/lab_run.py
@@ -329,18 +329,18 @@
         for called, port in linked_ports_in(program.config):
             self._link_to_port(program, name, called, port)
         text = LINK_PLACEHOLDER.sub(
-            lambda found: "{}:{}".format(*self._links[name, f"{found[1]}:{found[2]}"].address), program.config
+            lambda match: "{}:{}".format(*self._links[name, f"{match[1]}:{match[2]}"].address), program.config
         )
-        text = ADDRESS_PLACEHOLDER.sub(lambda found: f"{self._program_addresses[found[1]]}:{found[2]}", text)
+        text = ADDRESS_PLACEHOLDER.sub(lambda match: f"{self._program_addresses[match[1]]}:{match[2]}", text)
         text = PEERS_PLACEHOLDER.sub(
-            lambda found: self._peer_lines(program, name, found[1], int(found[2])), text
+            lambda match: self._peer_lines(program, name, match[1], int(match[2])), text
         )
-        for word, value in (
+        for placeholder, value in (
             ("address", address),
             ("number", str(number)),
             ("state", str(member.state_folder)),
         ):
-            text = text.replace(f"{{{word}}}", value)
+            text = text.replace(f"{{{placeholder}}}", value)
         path = member.folder / "config.toml"
         path.write_text(text, encoding="utf-8")
         member.command = f"{module_command(program.module)} {shlex.quote(str(path))}"
@@ -594,8 +594,8 @@
             if name not in (caller, called):
                 continue
             other = called if caller == name else caller
-            words = {other, self._group_word(other)}
-            if not others or words & set(others):
+            names = {other, self._group_word(other)}
+            if not others or names & set(others):
                 yield link
 
     def _group_word(self, name: str) -> str:
--- a/fleetlab/report.py
+++ b/fleetlab/report.py
@@ -44,7 +44,7 @@
         html_table(
             ["check", "breaks", "first"],
             [check_row(name, check_findings) for name, check_findings in findings.items()],
-            words=(2,),
+            text_columns=(2,),
         ),
         "<h2>Latency</h2><p>From when a message first came up until its delivery, in milliseconds.</p>",
         html_table(
@@ -62,7 +62,9 @@
         ),
         "<h2>Faults</h2>",
         html_table(
-            ["at", "", "on", "what"], [fault_row(fault.t, fault) for fault in run.faults], words=(1, 2, 3)
+            ["at", "", "on", "what"],
+            [fault_row(fault.t, fault) for fault in run.faults],
+            text_columns=(1, 2, 3),
         ),
         f"<p>The lab used {result.lab_cpu_s:.1f} s of processor, the relays {result.relays_cpu_s:.1f} s; "
         "the lab came "
@@ -72,11 +74,11 @@
     return f"{head}<style>{STYLE}</style>{''.join(parts)}</html>\n"
 
 
-def html_table(names: list[str], lines: list[list[str]], words: tuple[int, ...] = ()) -> str:
-    """Return an HTML table; the columns with indexes in ``words`` hold text and are aligned left."""
+def html_table(names: list[str], lines: list[list[str]], text_columns: tuple[int, ...] = ()) -> str:
+    """Return an HTML table; the columns with indexes in ``text_columns`` hold text and are aligned left."""
 
     def cell(tag: str, at: int, text: str) -> str:
-        kind = ' class="words"' if at in words else ""
+        kind = ' class="words"' if at in text_columns else ""
         return f"<{tag}{kind}>{escape(text)}</{tag}>"
 
     head = "".join(cell("th", at, name) for at, name in enumerate(names))
--- a/fleetlab/run_folders.py
+++ b/fleetlab/run_folders.py
@@ -79,9 +79,9 @@
 
 def write_report(folder: Path) -> Path:
     """Write the report of a run and return its path."""
-    run, result, found = judge_folder(folder)
+    run, result, findings = judge_folder(folder)
     path = folder / REPORT_FILE
-    path.write_text(render_page(run, result, found), encoding="utf-8")
+    path.write_text(render_page(run, result, findings), encoding="utf-8")
     return path
 
 
--- a/fleetlab/scripted_relay.py
+++ b/fleetlab/scripted_relay.py
@@ -117,11 +117,11 @@
             await asyncio.sleep(int(fields["d"]) / 1000 + 0.6)
         while self.bug != "ignore-wait" and self._wait_until_s.get(dest, 0) > loop.time():
             await asyncio.sleep(self._wait_until_s[dest] - loop.time())
-        usable = [self._usable_hosts(dest)]
-        if not usable[0]:
+        usable_hosts = [self._usable_hosts(dest)]
+        if not usable_hosts[0]:
             await self._send_notice(ref, "bounced")
             return
-        host = usable[0][next(self._call_numbers) % len(usable[0])]
+        host = usable_hosts[0][next(self._call_numbers) % len(usable_hosts[0])]
         sent = "feedfeed" + ref if self.bug == "invent" and number % 10 == 0 else ref
         calls = {"two-out": 2, "repeat": 2, "many": 12, "hammer": 1}.get(self.bug, 1)
         if self.bug == "two-out":
