--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -168,7 +168,7 @@
 
 def test_the_front_learns_late_and_forgets_nobody() -> None:
     """A relay that died is used until the front knows, and again once it is ready."""
-    front = clients.LoadBalancer({"r0": 0.5, "r1": 0.5}, learns_s=2.0)
+    front = clients.LoadBalancer({"r0": 0.5, "r1": 0.5}, detection_delay_s=2.0)
     assert front.choose_relay(0.2, 0.0) == "r0"
     front.mark_lost("r0", 10.0)
     assert front.choose_relay(0.2, 11.9) == "r0"
