--- a/standins/http.py
+++ b/standins/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as the stand-ins serve it: one request at a time on a connection, bounded, no more than is needed.
+"""The part of an HTTP/1.1 server that the stand-ins need: one request at a time on a connection, size limits.
 
-It reads the way the protocol's page writes, so that what a relay sends is judged by that and not by the
-relay's own reader.
+The parser follows the protocol's page and shares no code with the relay, so that it detects requests of a
+relay that deviate from the page.
 """
 
 from __future__ import annotations
@@ -12,51 +12,55 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-ACCEPT_BACKLOG = 1024  # connections that wait to be accepted
-MAX_HEAD_BYTES, MAX_BODY_BYTES = 16 * 1024, 512 * 1024  # bytes of a request
+ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted
+MAX_HEAD_BYTES = 16 * 1024  # request line and headers of a request
+MAX_BODY_BYTES = 512 * 1024
 REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 413: "Too Large"}
 
 
 class BadHttpError(ValueError):
-    """What came is no request."""
+    """The bytes received are not a valid request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request, whole."""
+    """One complete request."""
 
     method: str
     target: str
     headers: dict[str, str]  # names in lower case
     body: bytes
-    first_byte_s: float  # the loop's time of its first byte
+    first_byte_s: float  # when its first byte came, by the event loop's clock
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request | None:
-    """The next request; None where the peer ended the connection between two."""
+    """Read the next request; None when the peer closed the connection before it began one.
+
+    Raises ``BadHttpError`` when the request is malformed or too large, and the stream's errors.
+    """
     loop = asyncio.get_running_loop()
     first = await reader.read(1)
     if not first:
         return None
-    begun_s = loop.time()
+    first_byte_s = loop.time()
     head = first + await reader.readuntil(b"\r\n\r\n")
     if len(head) > MAX_HEAD_BYTES:
-        raise BadHttpError("a head without end")
+        raise BadHttpError("the head of a request is longer than MAX_HEAD_BYTES")
     try:
         line, *lines = head[:-4].decode("latin-1").split("\r\n")
         method, target, _ = line.split(" ", 2)
         headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         size = int(headers.get("content-length", "0"))
     except ValueError as error:
-        raise BadHttpError(f"no request: {error}") from None
+        raise BadHttpError(f"malformed head of a request: {error}") from None
     if not 0 <= size <= MAX_BODY_BYTES:
-        raise BadHttpError(f"a body of {size} bytes")
+        raise BadHttpError(f"a body of {size} bytes is not within 0 to MAX_BODY_BYTES")
     body = await reader.readexactly(size) if size else b""
-    return Request(method, target, headers, body, begun_s)
+    return Request(method, target, headers, body, first_byte_s)
 
 
 def encode_response(status: int, body: bytes = b"", headers: dict[str, str] | None = None) -> bytes:
-    """A whole answer."""
+    """The bytes of a complete response."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Told')}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if status != 204:
@@ -65,7 +69,7 @@
 
 
 def reset_connection(transport: asyncio.WriteTransport) -> None:
-    """Break a connection the hard way: the peer sees a reset."""
+    """Abort a connection so that the peer sees a reset instead of an orderly end."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -76,7 +80,7 @@
 
 
 class Listener:
-    """A server on one address that can be ended and come back there; it knows its connections."""
+    """A server on one address that can be stopped and started again there, and that knows its connections."""
 
     def __init__(self, host: str, serve: ConnectionHandler) -> None:
         self.host, self.port = host, 0
@@ -85,11 +89,11 @@
         self._server: asyncio.Server | None = None
 
     def address(self) -> tuple[str, int]:
-        """Its address, once it listens."""
+        """Its host and port; the port is 0 before the first ``start``."""
         return self.host, self.port
 
     async def start(self) -> None:
-        """Listen, on the same port as before where there was one."""
+        """Listen, on the same port as before if it has listened already."""
         self._server = await asyncio.start_server(
             self._handle_connection, self.host, self.port, backlog=ACCEPT_BACKLOG, limit=MAX_HEAD_BYTES
         )
@@ -102,13 +106,13 @@
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, BadHttpError):
             pass
         except asyncio.CancelledError:
-            pass  # the run is over; nobody waits for this task
+            pass  # at the run's end, when nothing waits for this task
         finally:
             self.writers.discard(writer)
             writer.close()
 
     def stop(self) -> None:
-        """Refuse new connections and break the open ones."""
+        """Refuse new connections and reset the open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
