--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -302,7 +302,7 @@
     assert (len(draining.requests), len(other.requests)) == (1, 1)
 
 
-@pytest.mark.parametrize("how", ["lose", "garble"])
+@pytest.mark.parametrize("how", ["go_down", "send_garbage"])
 async def test_a_watch_that_breaks_is_restarted(world: World, how: str) -> None:
     host = await world.add_host("h1")
     client = await world.start_relay()
