--- a/standins/records.py
+++ b/standins/records.py
@@ -1,7 +1,7 @@
-"""What stand-ins, links and faults saw: one typed record a line, all on one clock.
+"""Records of a run's history: what stand-ins, links and faults saw, one JSON object a line, on one clock.
 
-``t`` is seconds since the run's start on the monotonic clock of the process that holds all stand-ins. A
-history is a file of such lines; a checker reads nothing else.
+``t`` is in seconds since the run's start, negative before it, on the monotonic clock of the process that runs
+all stand-ins. A history is a file of such lines. Checkers read nothing else.
 """
 
 from __future__ import annotations
@@ -14,53 +14,56 @@
 
 
 class HistoryError(ValueError):
-    """A history that cannot be read: names the file and the line."""
+    """A history cannot be read; the text names the file, and the line where there is one."""
 
 
 class Record(msgspec.Struct, frozen=True, tag_field="what", omit_defaults=True):
-    """Something that was seen at a time."""
+    """Something that was seen at the time ``t``; the field ``what`` of its line is the record's tag."""
 
     t: float
 
 
 class Head(Record, frozen=True, tag="head"):
-    """The first line: what was played. ``plan`` is the scenario with all its defaults filled in."""
+    """The first line: the scenario of the run. ``plan`` holds it with all defaults filled in."""
 
     scenario: str
     seed: int
     relays: list[str]
-    endpoints: dict[str, int]  # each endpoint's destination
+    endpoints: dict[str, int]  # host to number of its destination
     plan: dict[str, Any]
 
 
 class Handed(Record, frozen=True, tag="handed"):
-    """A client has written the last byte of a request; ``first`` is when its message first came up."""
+    """A client has written the last byte of a request that submits a message under the id ``ref``.
+
+    ``first`` is when the message was first due to be submitted.
+    """
 
     ref: str
-    message: int  # the same for all its handings-in
+    message: int  # number of the message, the same for all its submissions
     relay: str
     cls: str
     dest: int
     tenant: str
-    left_s: float  # until its time is up, from ``t``
+    left_s: float  # from ``t`` until its deadline
     first: float
     key: str = ""
 
 
 class Heard(Record, frozen=True, tag="heard"):
-    """How the request ended for its client: ``ok``, ``busy``, ``error``, or with no answer.
+    """How a submission ended for its client: ``ok``, ``busy``, ``error``, or without an answer.
 
-    Without one it is ``patience`` (the client left), ``closed`` (the connection ended) or ``lab`` (the
-    run was over).
+    Without an answer it is ``patience`` (the client's time-out), ``closed`` (the connection ended) or ``lab``
+    (the run ended).
     """
 
     ref: str
     answer: str
-    wait_ms: int = 0
+    wait_ms: int = 0  # that the relay told the client to wait; 0: not stated
 
 
 class Unsent(Record, frozen=True, tag="unsent"):
-    """A client could not hand a message in: no connection to a relay, which never had it."""
+    """A client could not submit a message for want of a connection; the relay never had the message."""
 
     message: int
     relay: str
@@ -69,9 +72,9 @@
 
 
 class Call(Record, frozen=True, tag="call"):
-    """The last byte of a call has come to an endpoint; ``begun`` is when its first byte came.
+    """The last byte of a call has reached an endpoint; ``begun`` is when its first byte did.
 
-    ``limit_s`` is how long its relay says that it waits (0: not said).
+    ``limit_s`` is how long its relay waits for the answer by the call's header, 0 if it does not state it.
     """
 
     conn: str
@@ -83,14 +86,14 @@
 
 
 class Ran(Record, frozen=True, tag="ran"):
-    """A message takes effect at an endpoint; a repeat within its key's window takes none: no record."""
+    """A message takes effect at an endpoint; a repeat within its key's window has no effect and no record."""
 
     ref: str
     host: str
 
 
 class Reply(Record, frozen=True, tag="reply"):
-    """An endpoint has written its answer; ``ends`` tells for each message what it proves."""
+    """An endpoint has written its answer to a call; ``ends`` are the verdicts on the messages of ``refs``."""
 
     conn: str
     relay: str
@@ -102,19 +105,19 @@
 
 
 class Opened(Record, frozen=True, tag="opened"):
-    """A connection of a relay to an endpoint has come up; its name may have been another's before."""
+    """A relay's connection to an endpoint is open; an earlier connection may have had the same name."""
 
     conn: str
 
 
 class Gone(Record, frozen=True, tag="gone"):
-    """A connection of a relay to an endpoint has ended on the relay's side."""
+    """The relay has ended its connection to an endpoint."""
 
     conn: str
 
 
 class Probed(Record, frozen=True, tag="probed"):
-    """A relay has asked an endpoint without a message."""
+    """A relay has probed an endpoint: a request without a message."""
 
     relay: str
     host: str
@@ -122,23 +125,23 @@
 
 
 class Told(Record, frozen=True, tag="told"):
-    """The list, or what changed in it, has been written to a relay: host to health."""
+    """A relay has been sent the list, or the entries that changed in it, as health by host."""
 
     relay: str
     seq: int
     hosts: dict[str, str]
-    whole: bool = False
+    whole: bool = False  # the whole list
 
 
 class Changed(Record, frozen=True, tag="changed"):
-    """The platform's list has changed: host to health."""
+    """Entries of the platform's list have changed; ``hosts`` is health by host."""
 
     seq: int
     hosts: dict[str, str]
 
 
 class Noticed(Record, frozen=True, tag="noticed"):
-    """A relay's notice that ends a message: ``dead`` or ``bounced``."""
+    """The platform has got a relay's notice that ends a message: ``dead`` or ``bounced``."""
 
     relay: str
     ref: str
@@ -147,27 +150,30 @@
 
 
 class Partner(Record, frozen=True, tag="partner"):
-    """An endpoint's state: ``down``, ``cold`` (back, at ``share`` of its capacity), ``fallen``, ``warm``."""
+    """An endpoint's state: ``down``, ``cold`` (back with ``share`` of its capacity), ``fallen``, ``warm``."""
 
     host: str
     state: str
-    per_s: float = 0.0  # messages a second that its whole destination can serve when warm
+    per_s: float = 0.0  # messages per second that its whole destination can serve when warm
     share: float = 1.0
 
 
 class Fault(Record, frozen=True, tag="fault"):
-    """A fault begins or ends; ``number`` joins the two."""
+    """A fault begins or ends; both records have the same ``number``."""
 
     number: int
     kind: str
     phase: str  # begin, end
     on: list[str]
     note: str = ""
-    to: list[str] = []  # links: their other ends; none named: all
+    to: list[str] = []  # of faults of links: what is at their other ends; empty: all
 
 
 class Process(Record, frozen=True, tag="process"):
-    """A process of the fleet: ``start``, ``ready``, ``exit`` (``asked``: by a fault or the run's end)."""
+    """A process of the fleet: ``start``, ``ready`` or ``exit``.
+
+    ``asked`` is true for an exit that a fault or the run's end caused.
+    """
 
     name: str
     life: int
@@ -177,7 +183,7 @@
 
 
 class Acted(Record, frozen=True, tag="acted"):
-    """An act under a lease has come to a resource, by the resource's own record."""
+    """A request under a lease has reached a resource, by the resource's own record."""
 
     resource: str  # fenced, unfenced
     lease: str
@@ -187,36 +193,36 @@
 
 
 class Viewed(Record, frozen=True, tag="viewed"):
-    """What a member holds of another has changed, by its own record."""
+    """A member's state for another member has changed, by the record of the former."""
 
     member: str
-    life: int  # of the member's lives, by its own number
+    life: int  # the member's own count of its lives
     name: str
     state: str  # alive, suspect, failed, left
     by: str = ""
 
 
 class Measured(Record, frozen=True, tag="measured"):
-    """What a program of the run has measured by itself, by the name of the figure and with its unit in it."""
+    """Figures that a program of the run has measured itself; their names contain the unit."""
 
     name: str
     figures: dict[str, float]
 
 
 class Phase(Record, frozen=True, tag="phase"):
-    """The run itself: ``load`` begins, ``rest`` (nothing new is handed in), ``over``."""
+    """A phase of the run begins: ``load``, ``rest`` (no new messages are submitted) or ``over``."""
 
     name: str
 
 
 class Lag(Record, frozen=True, tag="lag"):
-    """The lab's own loop came so late, in seconds, to what was due."""
+    """The lab's event loop was late for something that was due at a known time."""
 
     late_s: float
 
 
 class Used(Record, frozen=True, tag="used"):
-    """Processor seconds and memory that a process used in all; ``lab`` is the lab itself."""
+    """Total processor time and peak memory of a process; the name ``lab`` is the lab itself."""
 
     name: str
     cpu_s: float
@@ -228,16 +234,17 @@
     | Partner | Fault | Acted | Viewed | Measured | Process | Phase | Lag | Used
 )  # fmt: skip
 Sink = Callable[[AnyRecord], None]
-_ENCODER, _DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyRecord)
+_ENCODER = msgspec.json.Encoder()
+_DECODER = msgspec.json.Decoder(AnyRecord)
 
 
 def encode_line(record: AnyRecord) -> bytes:
-    """A record as it stands in a history."""
+    """A record as a line of a history."""
     return _ENCODER.encode(record) + b"\n"
 
 
 def read_history(path: Path) -> Iterator[AnyRecord]:
-    """The records of a history file; ``HistoryError`` names the first line that is none."""
+    """The records of a history file; raises ``HistoryError`` at the first line that is not one."""
     try:
         with path.open("rb") as lines:
             for number, line in enumerate(lines, 1):
