--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds a relay: partners, the platform and clients, by their published protocol."""
+"""Stand-ins for a relay's surroundings by their published protocol: destinations, platform, clients."""
