--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("name", FAULT_TABLES)
 def test_relays_keep_the_rules_under_a_fault(tmp_path: Path, name: str) -> None:
-    """With three real relays every check holds, no message is lost or late, and no unsafe one runs twice."""
+    """With three real relays every check holds; no message is lost, late, or run twice against its class."""
     lab = start_lab(write_scenario(tmp_path, FAULT_TABLES[name]), tmp_path / "run")
     printed, errors = lab.communicate(timeout=120)
     assert lab.returncode == 0, (printed, errors)
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is wrong is one line, what is right gives the same run each time."""
+"""Scenario files: errors are one line, plans depend on file and seed alone, and what runs derive."""
 
 from __future__ import annotations
 
@@ -15,56 +15,59 @@
 from standins import clients
 from standins.scripted import ROOT
 
-GOOD = 'about = "x"\n'
-KILL = '[[fault]]\nkind = "kill"\nat_s = 1\n'
+MINIMAL = 'about = "x"\n'
+KILL_FAULT = '[[fault]]\nkind = "kill"\nat_s = 1\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected"),
     [
         ("about = ", "Invalid value"),
         ("seconds = 4", "about"),
-        (GOOD + "speed = 1", "speed"),
-        (GOOD + "relays = 0", "relays: 0"),
-        (GOOD + "relays = 1025", "relays: 1025"),
-        (GOOD + 'relays = "three"', "relays: "),
-        (GOOD + "seconds = 1e9", "seconds"),
-        (GOOD + "[load]\nper_s = -1", "load"),
-        (GOOD + "[load]\nspeed = 1", "load: "),
-        (GOOD + "partners = []", "partners"),
-        (GOOD + "[[partners]]\ndest = 1\n[[partners]]\ndest = 1", "twice"),
-        (GOOD + "[[partners]]\ndest = 1\nslots = 0", "partners[0]"),
-        (GOOD + '[[fault]]\nkind = "explode"\nat_s = 1', "fault[0].kind"),
-        (GOOD + '[[fault]]\nkind = "kill"\nat_s = 99', "fault[0].at_s: 99"),
-        (GOOD + KILL + "for_s = 0", "fault[0].for_s: 0"),
-        (GOOD + KILL + "part = 1.5", "fault[0].part: 1.5"),
-        (GOOD + KILL + 'on = ["r7"]', "fault[0].on: 'r7'"),
-        (GOOD + '[[fault]]\nkind = "cut"\nat_s = 1\nto = ["moon"]', "fault[0].to: 'moon'"),
-        (GOOD + '[[fault]]\nkind = "pause"\nat_s = 1', "fault[0].for_s"),
-        (GOOD + '[[fault]]\nkind = "slow"\nat_s = 1', "fault[0].share"),
-        (GOOD + '[[fault]]\nkind = "crowd"\nat_s = 1', "fault[0].connections"),
-        (GOOD + '[[fault]]\nkind = "replace"\nat_s = 1', "fault[0].kind: replace needs passed_socket"),
-        (GOOD + '[[fault]]\nkind = "reload"\nat_s = 1\nrepeats = 0', "fault[0].gap_s, repeats, connections"),
-        (GOOD + '[[fault]]\nkind = "terminate"\nat_s = 1\nsignals = ["KILL"]', "fault[0].signals"),
-        (GOOD + '[[program]]\nuse = "moon"', "program[0].use: 'moon' is none of crowd, "),
-        (GOOD + '[[program]]\nuse = "../kill-one"', "program[0].use: '../kill-one'"),
-        (GOOD + '[[program]]\nuse = ["peer"]', "program[0].use: ['peer']"),
-        (GOOD + '[[program]]\nuse = "peer"\nspeed = 1', "program[0]"),
+        (MINIMAL + "speed = 1", "speed"),
+        (MINIMAL + "relays = 0", "relays: 0"),
+        (MINIMAL + "relays = 1025", "relays: 1025"),
+        (MINIMAL + 'relays = "three"', "relays: "),
+        (MINIMAL + "seconds = 1e9", "seconds"),
+        (MINIMAL + "[load]\nper_s = -1", "load"),
+        (MINIMAL + "[load]\nspeed = 1", "load: "),
+        (MINIMAL + "partners = []", "partners"),
+        (MINIMAL + "[[partners]]\ndest = 1\n[[partners]]\ndest = 1", "twice"),
+        (MINIMAL + "[[partners]]\ndest = 1\nslots = 0", "partners[0]"),
+        (MINIMAL + '[[fault]]\nkind = "explode"\nat_s = 1', "fault[0].kind"),
+        (MINIMAL + '[[fault]]\nkind = "kill"\nat_s = 99', "fault[0].at_s: 99"),
+        (MINIMAL + KILL_FAULT + "for_s = 0", "fault[0].for_s: 0"),
+        (MINIMAL + KILL_FAULT + "part = 1.5", "fault[0].part: 1.5"),
+        (MINIMAL + KILL_FAULT + 'on = ["r7"]', "fault[0].on: 'r7'"),
+        (MINIMAL + '[[fault]]\nkind = "cut"\nat_s = 1\nto = ["moon"]', "fault[0].to: 'moon'"),
+        (MINIMAL + '[[fault]]\nkind = "pause"\nat_s = 1', "fault[0].for_s"),
+        (MINIMAL + '[[fault]]\nkind = "slow"\nat_s = 1', "fault[0].share"),
+        (MINIMAL + '[[fault]]\nkind = "crowd"\nat_s = 1', "fault[0].connections"),
+        (MINIMAL + '[[fault]]\nkind = "replace"\nat_s = 1', "fault[0].kind: replace needs passed_socket"),
+        (
+            MINIMAL + '[[fault]]\nkind = "reload"\nat_s = 1\nrepeats = 0',
+            "fault[0].gap_s, repeats, connections",
+        ),
+        (MINIMAL + '[[fault]]\nkind = "terminate"\nat_s = 1\nsignals = ["KILL"]', "fault[0].signals"),
+        (MINIMAL + '[[program]]\nuse = "moon"', "program[0].use: 'moon' is none of crowd, "),
+        (MINIMAL + '[[program]]\nuse = "../kill-one"', "program[0].use: '../kill-one'"),
+        (MINIMAL + '[[program]]\nuse = ["peer"]', "program[0].use: ['peer']"),
+        (MINIMAL + '[[program]]\nuse = "peer"\nspeed = 1', "program[0]"),
     ],
 )
-def test_a_bad_scenario_is_one_line_with_file_and_key(tmp_path: Path, text: str, words: str) -> None:
-    """And nothing is started."""
+def test_a_bad_scenario_is_one_line_with_file_and_key(tmp_path: Path, text: str, expected: str) -> None:
+    """The error names the file and the key or value that is wrong."""
     path = tmp_path / "bad.toml"
     path.write_text(text)
     with pytest.raises(scenario.ScenarioError) as error:
         scenario.load(str(path))
     assert str(error.value).startswith("bad.toml: ")
-    assert words in str(error.value)
+    assert expected in str(error.value)
     assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("arguments", "word"),
+    ("arguments", "expected"),
     [
         (["run", "nothing"], "nothing.toml"),
         (["run", "calm", "--relays", "0"], "relays"),
@@ -74,18 +77,18 @@
         (["explode"], "explode"),
     ],
 )
-def test_wrong_use_is_one_line_and_two(arguments: list[str], word: str) -> None:
-    """Nothing is printed as a result."""
+def test_a_wrong_command_line_is_one_line_and_exit_code_two(arguments: list[str], expected: str) -> None:
+    """The command line's errors are one line on standard error, nothing on standard output, exit code 2."""
     command = [sys.executable, "-m", "fleetlab", *arguments]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
-    assert ended.returncode == 2
-    assert ended.stdout == ""
-    assert word in ended.stderr
-    assert ended.stderr.count("\n") == 1
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
+    assert process.returncode == 2
+    assert process.stdout == ""
+    assert expected in process.stderr
+    assert process.stderr.count("\n") == 1
 
 
 def test_the_projects_scenarios_can_be_read() -> None:
-    """All of them, also with another number of relays."""
+    """Every scenario of the project is valid, also with another number of relays."""
     assert {"calm", "kill-one"} <= set(scenario.scenario_names())
     for name in scenario.scenario_names():
         assert scenario.load(name).about
@@ -93,8 +96,8 @@
 
 
 def test_a_program_takes_over_a_template_and_keeps_what_it_sets_itself() -> None:
-    """The template's name, module, ports and configuration, and the scenario's own count and links."""
-    text = GOOD + '[[program]]\nuse = "peer"\ncount = 3\ndatagrams = false'
+    """It takes name, module, ports and configuration from the template, but not count and datagrams."""
+    text = MINIMAL + '[[program]]\nuse = "peer"\ncount = 3\ndatagrams = false'
     program = scenario.parse_scenario(text, "x").program[0]
     template = tomllib.loads((templates.TEMPLATE_FOLDER / "peer.toml").read_text())
     taken_over = (program.name, program.module, list(program.ports), program.config)
@@ -104,127 +107,132 @@
 
 
 def test_a_seed_gives_the_same_load_and_faults() -> None:
-    """And another seed others."""
-    text = GOOD + "seconds = 20\nrelays = 5\n[adversary]\nfaults = 12\n" + KILL + "part = 0.4"
-    played = scenario.parse_scenario(text, "x")
-    assert fault_schedule.schedule_faults(played, 5) == fault_schedule.schedule_faults(played, 5)
-    assert fault_schedule.schedule_faults(played, 5) != fault_schedule.schedule_faults(played, 6)
-    assert len(fault_schedule.schedule_faults(played, 5)) == 13
-    assert len(fault_schedule.schedule_faults(played, 5)[0].on) == 2
+    """Another seed gives another load and other faults."""
+    text = MINIMAL + "seconds = 20\nrelays = 5\n[adversary]\nfaults = 12\n" + KILL_FAULT + "part = 0.4"
+    parsed = scenario.parse_scenario(text, "x")
+    assert fault_schedule.schedule_faults(parsed, 5) == fault_schedule.schedule_faults(parsed, 5)
+    assert fault_schedule.schedule_faults(parsed, 5) != fault_schedule.schedule_faults(parsed, 6)
+    assert len(fault_schedule.schedule_faults(parsed, 5)) == 13
+    assert len(fault_schedule.schedule_faults(parsed, 5)[0].on) == 2
 
     def load(seed: int) -> list[clients.Message]:
         return clients.draw_messages(
-            played.load, played.classes, played.tenants, [1, 2], seconds=20, seed=seed
+            parsed.load, parsed.classes, parsed.tenants, [1, 2], seconds=20, seed=seed
         )
 
     assert load(5) == load(5)
     assert load(5) != load(6)
 
 
-def test_a_drawn_fault_could_stand_in_a_file() -> None:
-    """Whatever the adversary draws keeps the schema's own rules."""
-    played = scenario.parse_scenario(GOOD + "seconds = 20\n[adversary]\nfaults = 60", "x")
+def test_a_drawn_fault_is_valid_in_a_file() -> None:
+    """Faults that the adversary draws are valid in a scenario file and unchanged when read from it."""
+    parsed = scenario.parse_scenario(MINIMAL + "seconds = 20\n[adversary]\nfaults = 60", "x")
     for seed in range(20):
-        faults = fault_schedule.schedule_faults(played, seed)
+        faults = fault_schedule.schedule_faults(parsed, seed)
         lines = [
-            "[[fault]]\n" + "".join(f"{key} = {toml(getattr(fault, key))}\n" for key in keys(fault))
+            "[[fault]]\n" + "".join(f"{key} = {toml_value(getattr(fault, key))}\n" for key in set_keys(fault))
             for fault in faults
         ]
-        assert scenario.parse_scenario(GOOD + "seconds = 20\n" + "".join(lines), "x").fault == faults
+        assert scenario.parse_scenario(MINIMAL + "seconds = 20\n" + "".join(lines), "x").fault == faults
 
 
-def keys(fault: Fault) -> list[str]:
-    """The keys of a fault that say something."""
+def set_keys(fault: Fault) -> list[str]:
+    """The keys of a fault whose value is not None."""
     return [key for key in fault.__struct_fields__ if getattr(fault, key) is not None]
 
 
-def toml(value: object) -> str:
-    """A value as TOML writes it."""
+def toml_value(value: object) -> str:
+    """A value in TOML's notation."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, list):
-        return "[" + ", ".join(map(toml, value)) + "]"
+        return "[" + ", ".join(map(toml_value, value)) + "]"
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
 def test_shrinking_finds_the_two_faults_that_matter() -> None:
-    """Of twenty, in fewer tries than their number squared, and never more than it may use."""
+    """It finds two of twenty faults in far fewer attempts than 20 squared, and stops when it is told to."""
     faults = [Fault(kind="kill", at_s=float(number), on=["r0"]) for number in range(20)]
-    tried = 0
-
-    def fails(some: object) -> bool:
-        nonlocal tried
-        tried += 1
-        assert isinstance(some, list)
-        return faults[3] in some and faults[14] in some
-
-    assert run_folders.minimize_faults(faults, fails, lambda: False) == [faults[3], faults[14]]
-    assert tried < 60
-    tried = 0
-    rest = run_folders.minimize_faults(faults, fails, lambda: tried >= 4)
-    assert {3.0, 14.0} <= {fault.at_s for fault in rest}
-    assert tried <= 4
-
-
-def test_the_front_learns_late_and_forgets_nobody() -> None:
-    """A relay that died is used until the front knows, and again once it is ready."""
-    front = clients.LoadBalancer({"r0": 0.5, "r1": 0.5}, detection_delay_s=2.0)
-    assert front.choose_relay(0.2, 0.0) == "r0"
-    front.mark_lost("r0", 10.0)
-    assert front.choose_relay(0.2, 11.9) == "r0"
-    assert front.choose_relay(0.2, 12.1) == "r1"
-    front.mark_lost("r1", 10.0)
-    assert front.choose_relay(0.2, 12.1) == "r0"  # nobody is left: where it would have gone
-    front.mark_ready("r0")
-    assert front.choose_relay(0.9, 12.1) == "r0"
+    attempts = 0
+
+    def still_fails(subset: object) -> bool:
+        nonlocal attempts
+        attempts += 1
+        assert isinstance(subset, list)
+        return faults[3] in subset and faults[14] in subset
+
+    assert run_folders.minimize_faults(faults, still_fails, lambda: False) == [faults[3], faults[14]]
+    assert attempts < 60
+    attempts = 0
+    reduced = run_folders.minimize_faults(faults, still_fails, lambda: attempts >= 4)
+    assert {3.0, 14.0} <= {fault.at_s for fault in reduced}
+    assert attempts <= 4
+
+
+def test_the_load_balancer_detects_a_lost_relay_late_and_uses_it_again() -> None:
+    """A relay that died is used until the load balancer detects it, and again once it is ready."""
+    balancer = clients.LoadBalancer({"r0": 0.5, "r1": 0.5}, detection_delay_s=2.0)
+    assert balancer.choose_relay(0.2, 0.0) == "r0"
+    balancer.mark_lost("r0", 10.0)
+    assert balancer.choose_relay(0.2, 11.9) == "r0"
+    assert balancer.choose_relay(0.2, 12.1) == "r1"
+    balancer.mark_lost("r1", 10.0)
+    assert balancer.choose_relay(0.2, 12.1) == "r0"  # no relay is left: as if none were excluded
+    balancer.mark_ready("r0")
+    assert balancer.choose_relay(0.9, 12.1) == "r0"
 
 
 def test_a_thousand_relays_and_servers_have_addresses_of_their_own() -> None:
-    """Processes, links and the lab's own; beyond them the run says so."""
-    held, other = addresses.Addresses(), addresses.Addresses()
+    """Processes, links and the lab have different addresses; a number beyond the pool is an error."""
+    pool, other_pool = addresses.Addresses(), addresses.Addresses()
     links = range(0, 1024 * 30, addresses.LINKS_PER_ADDRESS)
-    found = [held.process_address(number) for number in range(scenario.MAX_PROCESSES)]
-    found += [
-        held.address_at(place)
-        for place in (addresses.CLAIM_INDEX, addresses.CLIENTS_INDEX, addresses.SERVERS_INDEX)
+    assigned = [pool.process_address(number) for number in range(scenario.MAX_PROCESSES)]
+    assigned += [
+        pool.address_at(index)
+        for index in (addresses.CLAIM_INDEX, addresses.CLIENTS_INDEX, addresses.SERVERS_INDEX)
     ]
-    found += [held.link_address(number) for number in links]
-    assert len(set(found)) == len(found)
-    assert not set(found) & {other.process_address(number) for number in range(scenario.MAX_PROCESSES)}
-    for place, beyond in ((held.process_address, addresses.ADDRESSES_PER_RUN), (held.link_address, 1 << 20)):
+    assigned += [pool.link_address(number) for number in links]
+    assert len(set(assigned)) == len(assigned)
+    assert not set(assigned) & {
+        other_pool.process_address(number) for number in range(scenario.MAX_PROCESSES)
+    }
+    for address_at, number in (
+        (pool.process_address, addresses.ADDRESSES_PER_RUN),
+        (pool.link_address, 1 << 20),
+    ):
         with pytest.raises(ValueError, match="run has"):
-            place(beyond)
-    held.close()
-    other.close()
+            address_at(number)
+    pool.close()
+    other_pool.close()
 
 
-def test_a_run_of_a_thousand_relays_and_servers_can_be_written_and_what_it_needs_is_told() -> None:
-    """More links than this process may open sockets for are one line before anything starts."""
+def test_a_scenario_of_a_thousand_relays_is_valid_and_reports_the_descriptors_it_needs() -> None:
+    """More links than this process may open sockets for are an error before anything starts."""
     partners = "".join(f"[[partners]]\ndest = {dest}\nendpoints = 16\n" for dest in range(1, 65))
-    played = scenario.parse_scenario(GOOD + "relays = 1024\n" + partners, "x")
-    assert len(played.relay_names) == len(played.hosts) == 1024
+    parsed = scenario.parse_scenario(MINIMAL + "relays = 1024\n" + partners, "x")
+    assert len(parsed.relay_names) == len(parsed.hosts) == 1024
     with pytest.raises(FleetError, match=f"1024 relays have {1024 * 1026} links"):
-        lab_run.check_descriptors(played)
-    lab_run.check_descriptors(scenario.parse_scenario(GOOD + "relays = 3", "x"))
+        lab_run.check_descriptors(parsed)
+    lab_run.check_descriptors(scenario.parse_scenario(MINIMAL + "relays = 3", "x"))
 
 
 @pytest.mark.parametrize(
     ("programs", "links", "sockets"),
     [
-        ('[[program]]\nuse = "peer"\ncount = 7', 7 * 6, 2 * 7 * 6),  # each reaches all others
-        ('[[program]]\nuse = "quorum"\ncount = 3', 3 * 3, 0),  # each names all three
+        ('[[program]]\nuse = "peer"\ncount = 7', 7 * 6, 2 * 7 * 6),  # each has links to all others
+        ('[[program]]\nuse = "quorum"\ncount = 3', 3 * 3, 0),  # each has links to all three, itself included
         ('[[program]]\nuse = "quorum"\ncount = 3\n[[program]]\nuse = "crowd"\ncount = 5', 3 * 3 + 5 * 3, 0),
     ],
 )
 def test_links_of_further_programs_count(
     monkeypatch: pytest.MonkeyPatch, programs: str, links: int, sockets: int
 ) -> None:
-    """The run may begin with just the sockets that it needs, and with one less that is told."""
-    played = scenario.parse_scenario(GOOD + "relays = 1\n" + programs, "x")
-    links += 2 + len(played.hosts)
-    need = links + sockets + lab_run.SPARE_DESCRIPTORS
-    monkeypatch.setattr("resource.getrlimit", lambda _: (need, need))
-    lab_run.check_descriptors(played)
-    monkeypatch.setattr("resource.getrlimit", lambda _: (need - 1, need))
+    """A run may start with exactly the descriptors that it needs; with one less it is an error."""
+    parsed = scenario.parse_scenario(MINIMAL + "relays = 1\n" + programs, "x")
+    links += 2 + len(parsed.hosts)
+    needed = links + sockets + lab_run.SPARE_DESCRIPTORS
+    monkeypatch.setattr("resource.getrlimit", lambda _: (needed, needed))
+    lab_run.check_descriptors(parsed)
+    monkeypatch.setattr("resource.getrlimit", lambda _: (needed - 1, needed))
     with pytest.raises(FleetError, match=f"further processes have {links} links"):
-        lab_run.check_descriptors(played)
+        lab_run.check_descriptors(parsed)
