--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -281,15 +281,15 @@
 ) -> None:
     """Play schedules of the quorum's core in the simulator; each one that breaks a rule is a line."""
     with interruptible():
-        campaign = quorum.campaign(range(seed, seed + schedules), jobs)
-    for number, _, text in campaign.broken:
+        campaign = quorum.run_campaign(range(seed, seed + schedules), jobs)
+    for number, _, text in campaign.failures:
         print(f"seed {number}: {text}")
     if keep is not None:
-        first = campaign.broken[0][0] if campaign.broken else seed
-        quorum.kept(first, keep)
+        first = campaign.failures[0][0] if campaign.failures else seed
+        quorum.record_schedule(first, keep)
         print(f"the history of schedule {first} is in {keep}")
-    print(f"{campaign.played} schedules, {len(campaign.broken)} broken: {dict(campaign.counts)}")
-    raise typer.Exit(EXIT_FAILED if campaign.broken else EXIT_OK)
+    print(f"{campaign.schedules} schedules, {len(campaign.failures)} broken: {dict(campaign.counts)}")
+    raise typer.Exit(EXIT_FAILED if campaign.failures else EXIT_OK)
 
 
 @app.command(name="model")
@@ -298,7 +298,7 @@
     jobs: Annotated[int, typer.Option(min=1, help="Processes at once.")] = 4,
 ) -> None:
     """Visit every state of small configurations of leases; a rule that breaks is told with its steps."""
-    configurations = model.SMALL + (model.LARGER if larger else ())
+    configurations = model.SMALL_LIMITS + (model.LARGER_LIMITS if larger else ())
     broken = 0
     with interruptible(), ProcessPoolExecutor(jobs) as pool:
         for limits, explored in zip(configurations, pool.map(model.explore, configurations), strict=True):
--- a/fleetlab/scale/subjects/members_faults.py
+++ b/fleetlab/scale/subjects/members_faults.py
@@ -31,14 +31,14 @@
 
 def measure_agreement(sim: SettledSim, phase: str, timeout_s: float) -> list[Reading]:
     """Whether all members agree within ``timeout_s``, and if so after how many seconds."""
-    seconds = sim.until_agreed(timeout_s, STEP_S)
+    seconds = sim.run_until_agreed(timeout_s, STEP_S)
     agreed = [Reading(f"{phase}_agreed", float(seconds is not None))]
     return agreed if seconds is None else [*agreed, Reading(f"{phase}_until_agreed_seconds", seconds)]
 
 
 def detection_readings(sim: SettledSim, phase: str, *names: str) -> list[Reading]:
     """When the first and the last member considered a lost one failed; empty if a loss was not detected."""
-    times = [found for name in names if (found := sim.detection_s(name)) is not None]
+    times = [found for name in names if (found := sim.detection_times_s(name)) is not None]
     if len(times) < len(names):
         return []
     return [
@@ -69,7 +69,7 @@
     The load of the cut is measured until each half considers the other failed.
     """
     load, begun_us = LoadCounter(sim), sim.world.now_us
-    sim.halve()
+    sim.partition()
     halved = _run_until_halved(sim)
     cut = [Reading("cut_halved", float(halved)), *load.readings("cut")]
     sim.run(max(0.0, CUT_S - (sim.world.now_us - begun_us) / SECOND_US))
@@ -84,7 +84,7 @@
     half = len(sim.names) // 2
     for _ in range(int(CUT_S / STEP_S)):
         sim.run(STEP_S)
-        if all(len(core.live_updates()) in (half, len(sim.names) - half) for core in sim.cores()):
+        if all(len(core.live_updates()) in (half, len(sim.names) - half) for core in sim.live_cores()):
             return True
     return False
 
--- a/tests/membership/test_sim.py
+++ b/tests/membership/test_sim.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from fleetlab.sim.members import PeersSim, Plan
-from fleetlab.sim.world import Weather
+from fleetlab.sim.members import MembershipSim, Plan
+from fleetlab.sim.world import NetworkConditions
 from membership.core import SECOND_US, MembershipCore, Settings
 from membership.messages import Gossip, Replaced, State, Update
 
@@ -21,16 +21,18 @@
     exchange_interval_us=5 * SECOND_US,
     failed_probe_interval_us=2 * SECOND_US,
 )
-FAR = Weather(lost=0.01, least_us=50_000, most_us=130_000)
-BAD = Weather(lost=0.3, doubled=0.1, late=0.1, least_us=200, most_us=3_000)
+FAR = NetworkConditions(loss_rate=0.01, min_delay_us=50_000, max_delay_us=130_000)
+BAD = NetworkConditions(
+    loss_rate=0.3, duplicate_rate=0.1, late_rate=0.1, min_delay_us=200, max_delay_us=3_000
+)
 
 
-def fleet(seed: int, plan: Plan) -> PeersSim:
+def fleet(seed: int, plan: Plan) -> MembershipSim:
     """A simulated fleet that has started and agrees on its members."""
-    sim = PeersSim(seed, plan)
+    sim = MembershipSim(seed, plan)
     sim.start_all(SECOND_US)
     sim.run(1.0)
-    assert sim.until_agreed(30) is not None
+    assert sim.run_until_agreed(30) is not None
     return sim
 
 
@@ -41,23 +43,23 @@
     sim = fleet(seed, Plan(members=members, settings=FAST))
     sim.kill("m1")
     sim.run(40)
-    detected_s = sim.detection_s("m1")
+    detected_s = sim.detection_times_s("m1")
     assert detected_s is not None
     assert detected_s[1] < 25
-    assert sim.agreed()
+    assert sim.is_agreed()
     sim.restart("m1")
-    assert sim.until_agreed(20) is not None
+    assert sim.run_until_agreed(20) is not None
     assert sim.false_alarms == []
 
 
 def test_two_halves_merge_again() -> None:
     """Each half declares the other failed; once they are connected again all members refute that."""
     sim = fleet(1, Plan(members=20, settings=FAST))
-    sim.halve()
+    sim.partition()
     sim.run(60)
     assert {len(view) for view in sim.views().values()} == {10}
     sim.heal()
-    assert sim.until_agreed(60) is not None
+    assert sim.run_until_agreed(60) is not None
     assert sim.false_alarms == []
 
 
@@ -67,9 +69,9 @@
     lost = sim.names[3:24]
     sim.kill(*lost)
     sim.run(60)
-    assert sim.agreed()
+    assert sim.is_agreed()
     sim.restart(*lost)
-    assert sim.until_agreed(60) is not None
+    assert sim.run_until_agreed(60) is not None
     assert sim.false_alarms == []
 
 
@@ -81,7 +83,7 @@
         sim.run(0.3)
         sim.restart(name)
         sim.run(0.3)
-    assert sim.until_agreed(40) is not None
+    assert sim.run_until_agreed(40) is not None
     assert all(node.generation == 2 for node in sim.nodes.values())
 
 
@@ -92,10 +94,10 @@
     """
     count = 0
     for seed in seeds:
-        sim = fleet(seed, replace(plan, weather=Plan().weather))
-        sim.network.weather = plan.weather
+        sim = fleet(seed, replace(plan, conditions=Plan().conditions))
+        sim.network.conditions = plan.conditions
         for name in sim.names[:slow]:
-            sim.stop_and_go(name, 0.15, seconds)
+            sim.run_intermittently(name, 0.15, seconds)
         sim.run(seconds)
         count += len(sim.false_alarms)
     return count
@@ -103,7 +105,7 @@
 
 def test_lost_datagrams_make_no_member_fail() -> None:
     """Three in ten datagrams are lost, some doubled or late; without indirect probes members are accused."""
-    plan = Plan(members=20, settings=FAST, weather=BAD)
+    plan = Plan(members=20, settings=FAST, conditions=BAD)
     assert count_false_alarms(plan, range(3)) == 0
     hasty = replace(FAST, indirect_probes=0, suspicion_multiplier=1.0, max_suspicion_ratio=1.0)
     assert count_false_alarms(replace(plan, settings=hasty), range(3)) > 0
@@ -111,7 +113,7 @@
 
 def test_slow_members_make_no_healthy_one_fail() -> None:
     """A tenth run only at intervals; with short suspicions or without refutation healthy ones are accused."""
-    plan = Plan(members=20, settings=FAST, weather=FAR)
+    plan = Plan(members=20, settings=FAST, conditions=FAR)
     assert count_false_alarms(plan, range(3), slow=2) == 0
     hasty = replace(FAST, suspicion_multiplier=0.5, max_suspicion_ratio=1.0, max_local_health=0)
     assert count_false_alarms(replace(plan, settings=hasty), range(2), slow=2) > 0
@@ -159,20 +161,20 @@
 
     Returns whether it agrees within a minute after the last fault, and the number of false alarms.
     """
-    sim = PeersSim(seed, Plan(members=12, settings=FAST, core=core))
+    sim = MembershipSim(seed, Plan(members=12, settings=FAST, core=core))
     sim.start_all(SECOND_US)
     sim.run(10)
-    sim.network.weather = BAD
+    sim.network.conditions = BAD
     sim.kill("m3", "m4")
     sim.run(15)
     sim.restart("m3")
     ways = {("m5", name) for name in sim.names if name != "m5"}
-    sim.cut(ways)  # m5 receives, but nothing that it sends arrives
+    sim.cut_links(ways)  # m5 receives, but nothing that it sends arrives
     sim.run(15)
     sim.restart("m4")
     sim.heal()
-    sim.network.weather = Plan().weather
-    return sim.until_agreed(60) is not None, len(sim.false_alarms)
+    sim.network.conditions = Plan().conditions
+    return sim.run_until_agreed(60) is not None, len(sim.false_alarms)
 
 
 def test_a_fleet_agrees_after_churn() -> None:
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -9,8 +9,8 @@
 from fleetlab.scale.fit import growth_exponent
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subjects import members, members_faults
-from fleetlab.sim.members import PeersSim, Plan
-from fleetlab.sim.settled import SettledPeers, SettledSim
+from fleetlab.sim.members import MembershipSim, Plan
+from fleetlab.sim.settled import SettledMember, SettledSim
 from membership.core import SECOND_US
 from membership.messages import Exchange, Update
 
@@ -21,7 +21,7 @@
 FaultScenario = Callable[[SettledSim], list[Reading]]
 
 
-class ResendsWholeView(SettledPeers):
+class ResendsWholeView(SettledMember):
     """A planted quadratic cost: each change has the whole view sent again."""
 
     def _enqueue_update(self, update: Update) -> None:
@@ -30,7 +30,7 @@
             super()._enqueue_update(held.update)
 
 
-class ExchangesWithAll(SettledPeers):
+class ExchangesWithAll(SettledMember):
     """A planted quadratic cost: each exchange goes to all other members in addition to one."""
 
     def _start_exchange(self) -> None:
@@ -39,13 +39,13 @@
             self._send(name, Exchange(self.own_update.address, self._full_view(), wants_reply=False))
 
 
-def counts(scenario: FaultScenario, size: int, core: type[SettledPeers] = SettledPeers) -> dict[str, float]:
+def counts(scenario: FaultScenario, size: int, core: type[SettledMember] = SettledMember) -> dict[str, float]:
     """The counts of one scenario in a fleet of ``size`` members."""
     readings = scenario(SettledSim(SEED, size, core))
     return {item.figure: item.value for item in readings if item.source is Source.COUNT}
 
 
-def growth(scenario: FaultScenario, core: type[SettledPeers] = SettledPeers) -> dict[str, float]:
+def growth(scenario: FaultScenario, core: type[SettledMember] = SettledMember) -> dict[str, float]:
     """The exponent of each count's growth with the size."""
     by_size = {size: counts(scenario, size, core) for size in SIZES}
     return {
@@ -100,14 +100,14 @@
 def test_a_fleet_that_begins_settled_sends_as_much_as_one_that_started_up() -> None:
     """Over 90 s, the datagrams differ by less than a tenth and the whole exchanges by less than 30%."""
 
-    def sent(sim: PeersSim) -> tuple[int, int]:
+    def sent(sim: MembershipSim) -> tuple[int, int]:
         sim.run(60)
         before = sim.sent.copy()
         sim.run(90)
         sent_counts = sim.sent - before
         return sent_counts.total() - sent_counts["Exchange"], sent_counts["Exchange"]
 
-    started_up = PeersSim(SEED, Plan(20))
+    started_up = MembershipSim(SEED, Plan(20))
     started_up.start_all(SECOND_US)
     datagrams, exchanges = sent(started_up)
     settled_datagrams, settled_exchanges = sent(SettledSim(SEED, 20))
