--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -262,15 +262,15 @@
 ) -> None:
     """Play schedules of the quorum's core in the simulator; each one that breaks a rule is a line."""
     with interruptible():
-        found = quorum.campaign(range(seed, seed + schedules), jobs)
-    for number, _, text in found.broken:
+        found = quorum.run_campaign(range(seed, seed + schedules), jobs)
+    for number, _, text in found.failures:
         print(f"seed {number}: {text}")
     if keep is not None:
-        first = found.broken[0][0] if found.broken else seed
-        quorum.kept(first, keep)
+        first = found.failures[0][0] if found.failures else seed
+        quorum.record_schedule(first, keep)
         print(f"the history of schedule {first} is in {keep}")
-    print(f"{found.played} schedules, {len(found.broken)} broken: {dict(found.counts)}")
-    raise typer.Exit(EXIT_FAILED if found.broken else EXIT_OK)
+    print(f"{found.schedules} schedules, {len(found.failures)} broken: {dict(found.counts)}")
+    raise typer.Exit(EXIT_FAILED if found.failures else EXIT_OK)
 
 
 @app.command(name="model")
@@ -279,7 +279,7 @@
     jobs: Annotated[int, typer.Option(min=1, help="Processes at once.")] = 4,
 ) -> None:
     """Visit every state of small configurations of leases; a rule that breaks is told with its steps."""
-    some = model.SMALL + (model.LARGER if larger else ())
+    some = model.SMALL_LIMITS + (model.LARGER_LIMITS if larger else ())
     broken = 0
     with interruptible(), ProcessPoolExecutor(jobs) as pool:
         for limits, found in zip(some, pool.map(model.explore, some), strict=True):
--- a/fleetlab/scale/list_loading.py
+++ b/fleetlab/scale/list_loading.py
@@ -23,7 +23,7 @@
 from relay.driver import Driver
 from relay.journal import Journal
 from standins.scripted import Client, World
-from tools.cost.reading import taken
+from tools.cost.reading import read_usage
 
 PATIENCE_S = 12.0  # s for the list to arrive: four times what a watch waits for its first line
 POLL_S = 0.02  # s between looks whether all endpoints are known
@@ -172,7 +172,7 @@
             known = (await world.read_figures())["endpoints_known"]
         ended.set()
         assert world.process is not None
-        used = taken(world.process.pid)
+        used = read_usage(world.process.pid)
         return ProcessLoad(
             known=known,
             seconds=spent_s if known == size else None,
--- a/fleetlab/scale/simulated_load.py
+++ b/fleetlab/scale/simulated_load.py
@@ -16,27 +16,31 @@
     def __init__(self, sim: SettledSim) -> None:
         self._sim = sim
         self._begun_us, self._begun_processor_s = sim.world.now_us, processor_seconds()
-        self._sent, self._bytes, self._updates = sim.sent.copy(), sim.bytes.copy(), dict(sim.updates)
-        self._bytes_by_member = sim.bytes_by.copy()
-        self._changes, self._suspicion_checks = sim.changes, self._count_suspicion_checks()
+        self._sent, self._bytes, self._updates = (
+            sim.sent.copy(),
+            sim.bytes_by_type.copy(),
+            dict(sim.sent_updates),
+        )
+        self._bytes_by_member = sim.bytes_by_sender.copy()
+        self._changes, self._suspicion_checks = sim.state_changes, self._count_suspicion_checks()
 
     def _count_suspicion_checks(self) -> int:
-        return sum(core.suspicions_looked_at for core in self._sim.cores())
+        return sum(core.suspicion_checks for core in self._sim.live_cores())
 
     def _max_member_bytes(self) -> int:
         """Sent by the member that sent most."""
-        return max((self._sim.bytes_by - self._bytes_by_member).values(), default=0)
+        return max((self._sim.bytes_by_sender - self._bytes_by_member).values(), default=0)
 
     def readings(self, phase: str) -> list[Reading]:
         """Each figure begins with the phase; ``member_second`` means: a member that is up, and second."""
         sim = self._sim
         seconds = (sim.world.now_us - self._begun_us) / SECOND_US
-        member_seconds = len(sim.cores()) * seconds
+        member_seconds = len(sim.live_cores()) * seconds
         processor_s = processor_seconds() - self._begun_processor_s
-        messages, sent_bytes = sim.sent - self._sent, sim.bytes - self._bytes
+        messages, sent_bytes = sim.sent - self._sent, sim.bytes_by_type - self._bytes
         datagrams = messages.total() - messages[EXCHANGE_KIND]
-        updates = sum(count - self._updates.get(name, 0) for name, count in sim.updates.items())
-        datagram_updates = updates - (sim.updates[EXCHANGE_KIND] - self._updates.get(EXCHANGE_KIND, 0))
+        updates = sum(count - self._updates.get(name, 0) for name, count in sim.sent_updates.items())
+        datagram_updates = updates - (sim.sent_updates[EXCHANGE_KIND] - self._updates.get(EXCHANGE_KIND, 0))
         per_member_second = {
             "datagrams": float(datagrams),
             "datagram_bytes": float(sent_bytes.total() - sent_bytes[EXCHANGE_KIND]),
@@ -44,7 +48,7 @@
             "exchange_bytes": float(sent_bytes[EXCHANGE_KIND]),
             "sent_bytes": float(sent_bytes.total()),
             "updates": float(datagram_updates),
-            "changes": float(sim.changes - self._changes),
+            "changes": float(sim.state_changes - self._changes),
             "suspicions_looked_at": float(self._count_suspicion_checks() - self._suspicion_checks),
         }
         return [
--- a/fleetlab/scale/simulated_quorum.py
+++ b/fleetlab/scale/simulated_quorum.py
@@ -59,7 +59,7 @@
         """Wake it when it is due."""
         if self.core.due_us != self._scheduled_wake_us:
             self._scheduled_wake_us = self.core.due_us
-            self._quorum.world.at(self._scheduled_wake_us, partial(self._wake, self._scheduled_wake_us))
+            self._quorum.world.call_at(self._scheduled_wake_us, partial(self._wake, self._scheduled_wake_us))
 
     def _wake(self, due_us: int) -> None:
         if due_us == self._scheduled_wake_us:
@@ -127,13 +127,13 @@
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
-        self.world.run(self.world.now_us + int(seconds * SECOND_US))
+        self.world.run_until(self.world.now_us + int(seconds * SECOND_US))
 
     def add_holders(self, holders: int) -> None:
         """Holders come, within a second, and keep a lease each."""
         for number in range(holders):
             self._holders[number] = holder = SimulatedHolder(self, number)
-            self.world.after(self.random.randint(0, JOIN_SPREAD_US), holder.open_session)
+            self.world.call_later(self.random.randint(0, JOIN_SPREAD_US), holder.open_session)
 
     def send_request(self, number: int, request: Request) -> None:
         """A request of the holder of that number goes to the leader."""
@@ -156,7 +156,7 @@
                 if leads:
                     self._count_frame("log_out", data)
                 step = partial(self._finish_disk_sync, name, out.number)
-                self.world.after(DISK_SYNC_US, step)
+                self.world.call_later(DISK_SYNC_US, step)
             case Reply():
                 self._count_frame("client_out", data)
                 self._run_after_delay(lambda: self._holders[out.tag].receive_response(out.response))
@@ -166,7 +166,7 @@
         member.run_step(partial(member.core.synced, self.world.now_us, number))
 
     def _run_after_delay(self, work: Callable[[], None]) -> None:
-        self.world.after(self.random.randint(MIN_DELAY_US, MAX_DELAY_US), work)
+        self.world.call_later(self.random.randint(MIN_DELAY_US, MAX_DELAY_US), work)
 
     def _count_frame(self, way: str, data: bytes) -> None:
         self.frames[way] += 1
@@ -206,7 +206,7 @@
             self._quorum.grants += not self._token
             self._quorum.renewals += bool(self._token)
             self._token = response.token
-            self._quorum.world.after(TTL_MS * 1000 // RENEWALS_PER_TTL, self._renew)
+            self._quorum.world.call_later(TTL_MS * 1000 // RENEWALS_PER_TTL, self._renew)
 
     def _renew(self) -> None:
         renew = Renew(self._session, self._next_sequence(), self._name, self._token)
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -34,7 +34,9 @@
         *measure_calm(sim),
         Reading("member_resident_bytes", held_bytes, Source.TIMED),
         Reading(
-            "standing_look_processor_microseconds", measure_standing_update_us(sim.cores()[0]), Source.TIMED
+            "standing_look_processor_microseconds",
+            measure_standing_update_us(sim.live_cores()[0]),
+            Source.TIMED,
         ),
     ]
 
@@ -46,7 +48,7 @@
     return [
         *load.readings("calm"),
         Reading("false_alarms", len(sim.false_alarms)),
-        Reading("agreed_members", len(sim.cores()) if sim.agreed() else 0),
+        Reading("agreed_members", len(sim.live_cores()) if sim.is_agreed() else 0),
     ]
 
 
--- a/fleetlab/scale/subjects/members_faults.py
+++ b/fleetlab/scale/subjects/members_faults.py
@@ -27,14 +27,14 @@
 
 def measure_agreement(sim: SettledSim, phase: str, most_s: float) -> list[Reading]:
     """Seconds until all agree; the reading is missing where they do not in time."""
-    seconds = sim.until_agreed(most_s, STEP_S)
+    seconds = sim.run_until_agreed(most_s, STEP_S)
     found = [Reading(f"{phase}_agreed", float(seconds is not None))]
     return found if seconds is None else [*found, Reading(f"{phase}_until_agreed_seconds", seconds)]
 
 
 def detection_readings(sim: SettledSim, phase: str, *names: str) -> list[Reading]:
     """When the first and the last member held one of those lost failed; missing where not all do."""
-    times = [found for name in names if (found := sim.detection_s(name)) is not None]
+    times = [found for name in names if (found := sim.detection_times_s(name)) is not None]
     if len(times) < len(names):
         return []
     return [
@@ -62,7 +62,7 @@
 def cut_regions(sim: SettledSim) -> list[Reading]:
     """Two halves that do not reach each other for a while; its load is until each holds the other failed."""
     load, begun_us = LoadCounter(sim), sim.world.now_us
-    sim.halve()
+    sim.partition()
     halved = _run_until_halved(sim)
     cut = [Reading("cut_halved", float(halved)), *load.readings("cut")]
     sim.run(max(0.0, CUT_S - (sim.world.now_us - begun_us) / SECOND_US))
@@ -77,7 +77,7 @@
     half = len(sim.names) // 2
     for _ in range(int(CUT_S / STEP_S)):
         sim.run(STEP_S)
-        if all(len(core.live_updates()) in (half, len(sim.names) - half) for core in sim.cores()):
+        if all(len(core.live_updates()) in (half, len(sim.names) - half) for core in sim.live_cores()):
             return True
     return False
 
--- a/fleetlab/sim/linear.py
+++ b/fleetlab/sim/linear.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 FOREVER = 1 << 62
-MOST_TRIED = 500_000  # states; a history that needs more is too large to be judged
+MAX_STATES = 500_000  # states; a history that needs more is too large to be judged
 
 
 class TooLargeError(RuntimeError):
@@ -23,22 +23,22 @@
 class Operation:
     """A call and its answer; without one ``ended`` is ``FOREVER`` and ``answer`` None."""
 
-    called: int
-    ended: int
-    asked: Any
+    called_at: int
+    returned_at: int
+    request: Any
     answer: Any
 
 
 Step = Callable[[Any, Any, Any], tuple[bool, Any]]
 
 
-def linearizable(operations: list[Operation], state: Hashable, step: Step) -> bool:
+def is_linearizable(operations: list[Operation], state: Hashable, step: Step) -> bool:
     """Whether some order explains every answer.
 
     ``step(state, asked, answer)`` tells whether the answer fits and what the state is then. ``TooLargeError``
     where the search takes more than its bound.
     """
-    some = sorted(operations, key=lambda item: item.called)
+    some = sorted(operations, key=lambda item: item.called_at)
     whole = (1 << len(some)) - 1
     owed = sum(1 << at for at, item in enumerate(some) if item.answer is not None)
     tried: set[tuple[int, Hashable]] = set()
@@ -50,14 +50,14 @@
         if (done, now) in tried:
             continue
         tried.add((done, now))
-        if len(tried) > MOST_TRIED:
-            raise TooLargeError(f"over {MOST_TRIED} states")
+        if len(tried) > MAX_STATES:
+            raise TooLargeError(f"over {MAX_STATES} states")
         rest = [(at, item) for at, item in enumerate(some) if (whole ^ done) >> at & 1]
-        first_end = min((item.ended for _, item in rest), default=FOREVER)
+        first_end = min((item.returned_at for _, item in rest), default=FOREVER)
         for at, item in rest:
-            if item.called > first_end:
+            if item.called_at > first_end:
                 break
-            fits, then = step(now, item.asked, item.answer)
+            fits, then = step(now, item.request, item.answer)
             if fits:
                 stack.append((done | 1 << at, then))
     return False
--- a/fleetlab/sim/members.py
+++ b/fleetlab/sim/members.py
@@ -13,11 +13,11 @@
 from random import Random
 
 from fleetlab.sim.node import SimNode
-from fleetlab.sim.world import Network, Weather, World
+from fleetlab.sim.world import Network, NetworkConditions, World
 from membership.core import SECOND_US, MembershipCore, Settings
 from membership.messages import Exchange, Message, Output, SendMessage, State, StateChanged, Update
 
-DRIFT = 0.005
+MAX_DRIFT = 0.005
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,33 +26,35 @@
 
     members: int = 40
     settings: Settings = field(default_factory=Settings)
-    weather: Weather = field(default_factory=lambda: Weather(lost=0.01, least_us=200, most_us=3_000))
+    conditions: NetworkConditions = field(
+        default_factory=lambda: NetworkConditions(loss_rate=0.01, min_delay_us=200, max_delay_us=3_000)
+    )
     core: type[MembershipCore] = MembershipCore
-    names: str = "m{}"  # a member's name and address, by its number
+    name_format: str = "m{}"  # a member's name and address, by its number
     zones: tuple[str, ...] = ("",)  # members are in each in turn
     first_generation: int = 1
 
 
 @dataclass(slots=True)
-class Lost:
+class LostMember:
     """A member that went, and when each other held it failed."""
 
-    at_us: int
-    by_us: dict[str, int] = field(default_factory=dict)
+    lost_at_us: int
+    detected_at_us: dict[str, int] = field(default_factory=dict)
 
 
-class Node(SimNode[MembershipCore]):
+class MemberNode(SimNode[MembershipCore]):
     """One member on its machine."""
 
-    def __init__(self, sim: PeersSim, name: str, seeds: tuple[str, ...]) -> None:
+    def __init__(self, sim: MembershipSim, name: str, seeds: tuple[str, ...]) -> None:
         super().__init__(sim.world, name)
         self.sim, self._seeds = sim, seeds
         self.zone = ""
         self.generation = sim.plan.first_generation - 1
 
-    def draw_rate(self) -> float:
+    def draw_clock_rate(self) -> float:
         """Within the bound of drift."""
-        return 1 + self.world.random.uniform(-DRIFT, DRIFT)
+        return 1 + self.world.random.uniform(-MAX_DRIFT, MAX_DRIFT)
 
     def create_core(self) -> MembershipCore:
         """A member that knows its seeds alone."""
@@ -66,58 +68,58 @@
         """It goes without a word."""
         self.core = None
 
-    def carry_out(self, actions: list[Output]) -> None:
+    def execute_actions(self, actions: list[Output]) -> None:
         """Send what it says, and note what it holds."""
         for item in actions:
             match item:
                 case SendMessage():
-                    self.sim.said(self.name, item.address, item.message)
+                    self.sim.send(self.name, item.address, item.message)
                 case StateChanged():
-                    self.sim.changed(self.name, item)
+                    self.sim.record_state_change(self.name, item)
 
 
-class PeersSim:
+class MembershipSim:
     """One run."""
 
     def __init__(self, seed: int, plan: Plan) -> None:
         self.plan, self.world = plan, World(seed)
         self.network: Network[Message] = Network(self.world, self._deliver)
-        self.network.weather = plan.weather
-        self.names = [plan.names.format(number) for number in range(plan.members)]
-        self.nodes = {name: Node(self, name, tuple(self.names[:3])) for name in self.names}
+        self.network.conditions = plan.conditions
+        self.names = [plan.name_format.format(number) for number in range(plan.members)]
+        self.nodes = {name: MemberNode(self, name, tuple(self.names[:3])) for name in self.names}
         for number, node in enumerate(self.nodes.values()):
             node.zone = plan.zones[number % len(plan.zones)]
-        self.lost: dict[str, Lost] = {}
+        self.lost_members: dict[str, LostMember] = {}
         self.false_alarms: list[tuple[int, str, str]] = []  # when, by whom, on whom
-        self.excused: set[str] = set()  # members that are slow, cut off, or gone
+        self.excused_members: set[str] = set()  # members that are slow, cut off, or gone
         self.sent: Counter[str] = Counter()
-        self.updates: dict[str, int] = defaultdict(int)
+        self.sent_updates: dict[str, int] = defaultdict(int)
 
-    def said(self, sender: str, to: str, message: Message) -> None:
+    def send(self, sender: str, to: str, message: Message) -> None:
         """A message on its way; an exchange by a connection, which loses nothing unless it is cut."""
         self.sent[type(message).__name__] += 1
-        self.updates[type(message).__name__] += len(message.updates)
+        self.sent_updates[type(message).__name__] += len(message.updates)
         if isinstance(message, Exchange):
-            if not {(sender, to), (to, sender)} & self.network.cut:
+            if not {(sender, to), (to, sender)} & self.network.cut_links:
                 delay_us = self.world.random.randint(500, 8_000)
-                self.world.after(delay_us, lambda: self._deliver(sender, to, message))
+                self.world.call_later(delay_us, lambda: self._deliver(sender, to, message))
             return
         self.network.send(sender, to, message)
 
     def _deliver(self, _sender: str, to: str, message: Message) -> None:
         if to in self.nodes:
-            self.nodes[to].do(lambda core, now_us: core.receive(now_us, message))
+            self.nodes[to].run_step(lambda core, now_us: core.receive(now_us, message))
 
-    def changed(self, name: str, event: StateChanged) -> None:
+    def record_state_change(self, name: str, event: StateChanged) -> None:
         """A member holds another to be otherwise."""
         other = event.update.name
         if event.update.state is not State.FAILED:
             return
         node = self.nodes[other]
-        if other in self.lost and node.core is None:
-            self.lost[other].by_us.setdefault(name, self.world.now_us)
+        if other in self.lost_members and node.core is None:
+            self.lost_members[other].detected_at_us.setdefault(name, self.world.now_us)
         elif node.core is not None and node.generation == event.update.generation:
-            spared = {name, other} & self.excused
+            spared = {name, other} & self.excused_members
             if not spared:
                 self.false_alarms.append((self.world.now_us, name, other))
 
@@ -126,16 +128,16 @@
     def start_all(self, within_us: int = 0) -> None:
         """All of them, together or within a time."""
         for node in self.nodes.values():
-            self.world.after(self.world.random.randint(0, within_us), node.start)
+            self.world.call_later(self.world.random.randint(0, within_us), node.start)
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
-        self.world.run(self.world.now_us + int(seconds * SECOND_US))
+        self.world.run_until(self.world.now_us + int(seconds * SECOND_US))
 
     def kill(self, *names: str) -> None:
         """Some go without a word."""
         for name in names:
-            self.lost[name] = Lost(self.world.now_us)
+            self.lost_members[name] = LostMember(self.world.now_us)
             self.nodes[name].kill()
 
     def restart(self, *names: str) -> None:
@@ -143,65 +145,67 @@
         for name in names:
             self.nodes[name].start()
 
-    def stop_and_go(self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND_US) -> None:
+    def run_intermittently(
+        self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND_US
+    ) -> None:
         """A member that runs so small a part of the time."""
-        self.excused.add(name)
+        self.excused_members.add(name)
         until_us = self.world.now_us + int(seconds * SECOND_US)
 
         def stall() -> None:
             if self.world.now_us < until_us:
                 self.nodes[name].stalled_until_us = self.world.now_us + int(tick_us * (1 - share))
-                self.world.after(tick_us, stall)
+                self.world.call_later(tick_us, stall)
 
         stall()
 
-    def cut(self, ways: set[tuple[str, str]]) -> None:
+    def cut_links(self, ways: set[tuple[str, str]]) -> None:
         """Nothing passes there; who is at an end of it is excused."""
-        self.network.cut |= ways
-        self.excused |= {name for way in ways for name in way}
+        self.network.cut_links |= ways
+        self.excused_members |= {name for way in ways for name in way}
 
-    def halve(self, part: float = 0.5) -> set[tuple[str, str]]:
+    def partition(self, part: float = 0.5) -> set[tuple[str, str]]:
         """Two parts that do not reach each other; the ways between them."""
         at = int(len(self.names) * part)
         one, other = self.names[:at], self.names[at:]
         ways = {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
-        self.cut(ways)
+        self.cut_links(ways)
         return ways
 
     def heal(self) -> None:
         """Everything passes again."""
-        self.network.cut.clear()
+        self.network.cut_links.clear()
 
     # What is held
 
     def views(self) -> dict[str, frozenset[tuple[str, int]]]:
         """Of each member that is up: the names and generations that it holds to live."""
-        return {name: view_of(node.core) for name, node in self.nodes.items() if node.core is not None}
+        return {name: live_view(node.core) for name, node in self.nodes.items() if node.core is not None}
 
-    def agreed(self) -> bool:
+    def is_agreed(self) -> bool:
         """Whether all that are up hold exactly those to live, each by its life of now."""
         up = frozenset((name, node.generation) for name, node in self.nodes.items() if node.core is not None)
-        return all(view_of(node.core) == up for node in self.nodes.values() if node.core is not None)
+        return all(live_view(node.core) == up for node in self.nodes.values() if node.core is not None)
 
-    def until_agreed(self, most_s: float, step_s: float = 0.5) -> float | None:
+    def run_until_agreed(self, most_s: float, step_s: float = 0.5) -> float | None:
         """Seconds until all agree; None where they do not in time."""
         begun_us = self.world.now_us
         while self.world.now_us - begun_us <= most_s * SECOND_US:
-            if self.agreed():
+            if self.is_agreed():
                 return (self.world.now_us - begun_us) / SECOND_US
             self.run(step_s)
         return None
 
-    def detection_s(self, name: str) -> tuple[float, float] | None:
+    def detection_times_s(self, name: str) -> tuple[float, float] | None:
         """From a loss until the first and the last of those up held it failed; None where one does not."""
-        lost = self.lost[name]
+        lost = self.lost_members[name]
         up = [other for other, node in self.nodes.items() if node.core is not None]
-        if any(other not in lost.by_us for other in up):
+        if any(other not in lost.detected_at_us for other in up):
             return None
-        times = [lost.by_us[other] - lost.at_us for other in up]
+        times = [lost.detected_at_us[other] - lost.lost_at_us for other in up]
         return min(times) / SECOND_US, max(times) / SECOND_US
 
 
-def view_of(core: MembershipCore) -> frozenset[tuple[str, int]]:
+def live_view(core: MembershipCore) -> frozenset[tuple[str, int]]:
     """The names and generations that a member holds to live."""
     return frozenset((item.name, item.generation) for item in core.live_updates())
--- a/fleetlab/sim/node.py
+++ b/fleetlab/sim/node.py
@@ -9,7 +9,7 @@
 
 from fleetlab.sim.world import SimClock, World
 
-CLOCK_OFFSET_US = 10**9  # at the most, at which a monotonic clock begins
+MAX_CLOCK_OFFSET_US = 10**9  # at the most, at which a monotonic clock begins
 
 
 class Core(Protocol):
@@ -34,10 +34,10 @@
         self.core: CoreT | None = None
         self.generation = 0  # of starts, from 1
         self.stalled_until_us = 0
-        self._wake_us = -1  # by its clock, at which it will be woken; none is set below 0
+        self._scheduled_wake_us = -1  # by its clock, at which it will be woken; none is set below 0
 
     @abstractmethod
-    def draw_rate(self) -> float:
+    def draw_clock_rate(self) -> float:
         """How fast the clock of a new life goes; 1 is true time."""
 
     @abstractmethod
@@ -45,7 +45,7 @@
         """The core of a new life, whose clock is set."""
 
     @abstractmethod
-    def carry_out(self, actions: list[Any]) -> None:
+    def execute_actions(self, actions: list[Any]) -> None:
         """Do what the core asked for after a step; it may end this life."""
 
     def start(self) -> None:
@@ -53,33 +53,35 @@
         if self.core is not None:
             return
         self.generation += 1
-        self.clock = SimClock(self.world, self.draw_rate(), self.world.random.randint(0, CLOCK_OFFSET_US))
+        self.clock = SimClock(
+            self.world, self.draw_clock_rate(), self.world.random.randint(0, MAX_CLOCK_OFFSET_US)
+        )
         self.core = self.create_core()
-        self._arm(self.core)
+        self._schedule_wake(self.core)
 
-    def do(self, step: Callable[[CoreT, int], list[Any]]) -> None:
+    def run_step(self, step: Callable[[CoreT, int], list[Any]]) -> None:
         """One step of the core and what follows from it; while stalled, what comes waits in its sockets."""
         if self.core is None:
             return
         if self.stalled_until_us > self.world.now_us:
-            self.world.at(self.stalled_until_us, partial(self._do_in, self.generation, step))
+            self.world.call_at(self.stalled_until_us, partial(self._run_step_in, self.generation, step))
             return
-        self.carry_out(step(self.core, self.clock.now_us()))
+        self.execute_actions(step(self.core, self.clock.now_us()))
         if self.core is not None:
-            self._arm(self.core)
+            self._schedule_wake(self.core)
 
-    def _do_in(self, generation: int, step: Callable[[CoreT, int], list[Any]]) -> None:
+    def _run_step_in(self, generation: int, step: Callable[[CoreT, int], list[Any]]) -> None:
         """A step that only the given life takes."""
         if generation == self.generation:
-            self.do(step)
+            self.run_step(step)
 
-    def _arm(self, core: CoreT) -> None:
+    def _schedule_wake(self, core: CoreT) -> None:
         due_us = core.due_us
-        if due_us != self._wake_us:
-            self._wake_us = due_us
-            self.world.at(self.clock.true_us(due_us), partial(self._wake, self.generation, due_us))
+        if due_us != self._scheduled_wake_us:
+            self._scheduled_wake_us = due_us
+            self.world.call_at(self.clock.true_time_us(due_us), partial(self._wake, self.generation, due_us))
 
     def _wake(self, generation: int, due_us: int) -> None:
-        if self.core is not None and generation == self.generation and due_us == self._wake_us:
-            self._wake_us = -1
-            self.do(lambda core, now_us: core.wake(now_us))
+        if self.core is not None and generation == self.generation and due_us == self._scheduled_wake_us:
+            self._scheduled_wake_us = -1
+            self.run_step(lambda core, now_us: core.wake(now_us))
--- a/fleetlab/sim/quorum/__init__.py
+++ b/fleetlab/sim/quorum/__init__.py
@@ -13,20 +13,20 @@
 - ``linear``: reads and writes of a record are linearizable; ``stuck``: once all is well again, work goes on.
 """
 
-from fleetlab.sim.quorum.campaigns import Campaign, campaign, kept, played
+from fleetlab.sim.quorum.campaigns import CampaignResult, record_schedule, run_campaign, run_schedules
 from fleetlab.sim.quorum.judge import BrokenError, step_record
-from fleetlab.sim.quorum.plan import Parts, Plan, plan_of
+from fleetlab.sim.quorum.plan import Parts, Plan, draw_plan
 from fleetlab.sim.quorum.simulation import QuorumSim
 
 __all__ = [
     "BrokenError",
-    "Campaign",
+    "CampaignResult",
     "Parts",
     "Plan",
     "QuorumSim",
-    "campaign",
-    "kept",
-    "plan_of",
-    "played",
+    "draw_plan",
+    "record_schedule",
+    "run_campaign",
+    "run_schedules",
     "step_record",
 ]
--- a/fleetlab/sim/quorum/adversary.py
+++ b/fleetlab/sim/quorum/adversary.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from fleetlab.sim.quorum.node import Node
-from fleetlab.sim.quorum.plan import SECOND
-from fleetlab.sim.world import Weather
+from fleetlab.sim.quorum.node import QuorumNode
+from fleetlab.sim.quorum.plan import SECOND_US
+from fleetlab.sim.world import NetworkConditions
 from quorum.member import Member
 from quorum.messages import Send
 from quorum.raft import Role
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from fleetlab.sim.quorum.simulation import QuorumSim
 
-CALM_US = 600_000  # after a folder was put back, until the others have found it out
-COPY_TRIES = 20  # at moments to put a folder back
-FAULTS = [
+CALM_AFTER_RESTORE_US = 600_000  # after a folder was put back, until the others have found it out
+MAX_RESTORE_ATTEMPTS = 20  # at moments to put a folder back
+FAULT_KINDS = [
     "crash", "crash", "crash_all", "cut", "cut", "leader_alone", "leader_alone", "slow", "stall", "pause",
     "snapshot", "resign", "storm", "full", "old_copy",
 ]  # fmt: skip
@@ -31,49 +31,52 @@
     def __init__(self, sim: QuorumSim) -> None:
         self.sim, self.plan, self.world = sim, sim.plan, sim.world
         self.network, self.nodes, self.names = sim.network, sim.nodes, sim.names
-        self.restores_copy = False  # a folder is put back from an old copy in this schedule
-        self._over = False
+        self.copy_restored = False  # a folder is put back from an old copy in this schedule
+        self._ended = False
         self._calm_until_us = 0  # no fault begins before
 
-    def plan_faults(self) -> None:
+    def schedule_faults(self) -> None:
         """Set the times at which faults begin."""
         random = self.world.random
-        kinds = [*(self.plan.kinds or FAULTS), *(["change"] if self.plan.membership else [])]
-        for _ in range(self.plan.faults):
-            at_us = random.randint(SECOND, self.plan.seconds * SECOND)
+        kinds = [
+            *(self.plan.fault_kinds or FAULT_KINDS),
+            *(["change"] if self.plan.changes_membership else []),
+        ]
+        for _ in range(self.plan.fault_count):
+            at_us = random.randint(SECOND_US, self.plan.seconds * SECOND_US)
             kind = random.choice(kinds)
-            self.world.at(at_us, partial(self._strike, getattr(self, f"_{kind}"), random))
+            self.world.call_at(at_us, partial(self._begin_fault, getattr(self, f"_{kind}"), random))
 
-    def _strike(self, fault: Callable[[Random], None], random: Random) -> None:
+    def _begin_fault(self, fault: Callable[[Random], None], random: Random) -> None:
         if self.world.now_us >= self._calm_until_us:
             fault(random)
 
-    def strikes_after(self, out: list[Any]) -> bool:
+    def crashes_after_step(self, out: list[Any]) -> bool:
         """Whether a member's machine goes down right after a step in which it promised something."""
         if (
-            not self.plan.sudden
-            or self._over
+            not self.plan.crash_after_step_rate
+            or self._ended
             or self.world.now_us < self._calm_until_us
             or not any(isinstance(item, Send) for item in out)
         ):
             return False
-        return self.world.random.random() < self.plan.sudden
+        return self.world.random.random() < self.plan.crash_after_step_rate
 
     def _crash(self, random: Random) -> None:
-        self._crash_some([random.choice(self.names)], random)
+        self._crash_members([random.choice(self.names)], random)
 
     def _crash_all(self, random: Random) -> None:
-        self._crash_some(list(self.names), random)
+        self._crash_members(list(self.names), random)
 
-    def _crash_some(self, names: list[str], random: Random) -> None:
+    def _crash_members(self, names: list[str], random: Random) -> None:
         for name in names:
             machine = random.random() < 0.7
             self.nodes[name].crash(machine)
-            for_us = random.randint(20_000, 2 * SECOND)
-            self.sim.history.fault(
+            for_us = random.randint(20_000, 2 * SECOND_US)
+            self.sim.history.record_fault(
                 "kill", [name], for_us, "with its machine" if machine else "the process alone"
             )
-            self.world.after(for_us, self.nodes[name].start)
+            self.world.call_later(for_us, self.nodes[name].start)
 
     def _cut(self, random: Random) -> None:
         """One direction or both, between one member and some of all the others."""
@@ -84,12 +87,12 @@
         for other in some:
             if other != name:
                 ways |= {(name, other)} | ({(other, name)} if both else set())
-        self.network.cut |= ways
-        for_us = random.randint(SECOND // 10, 3 * SECOND)
-        self.sim.history.fault(
+        self.network.cut_links |= ways
+        for_us = random.randint(SECOND_US // 10, 3 * SECOND_US)
+        self.sim.history.record_fault(
             "cut", [name], for_us, "both ways" if both else "one way", sorted(set(some) - {name})
         )
-        self.world.after(for_us, partial(self._heal, ways))
+        self.world.call_later(for_us, partial(self._restore_links, ways))
 
     def _leader_alone(self, random: Random) -> None:
         """The leader is cut from the other members and not from clients, now and then in one direction."""
@@ -98,66 +101,68 @@
             ways = {(name, other) for other in self.names if other != name}
             if random.random() < 0.7:
                 ways |= {(other, name) for _, other in ways}
-            self.network.cut |= ways
-            for_us = random.randint(SECOND // 10, 2 * SECOND)
-            self.sim.history.fault("cut", [name], for_us, "a leader from the members")
-            self.world.after(for_us, partial(self._heal, ways))
+            self.network.cut_links |= ways
+            for_us = random.randint(SECOND_US // 10, 2 * SECOND_US)
+            self.sim.history.record_fault("cut", [name], for_us, "a leader from the members")
+            self.world.call_later(for_us, partial(self._restore_links, ways))
 
-    def _heal(self, ways: set[tuple[str, str]]) -> None:
-        self.network.cut -= ways
+    def _restore_links(self, ways: set[tuple[str, str]]) -> None:
+        self.network.cut_links -= ways
 
     def _slow(self, random: Random) -> None:
         node = self.nodes[random.choice(self.names)]
-        node.slow_disk_us = random.randint(20_000, 400_000)
+        node.extra_sync_delay_us = random.randint(20_000, 400_000)
 
         def heal() -> None:
-            node.slow_disk_us = 0
+            node.extra_sync_delay_us = 0
 
-        for_us = random.randint(SECOND // 2, 3 * SECOND)
-        self.sim.history.fault("slow", [node.name], for_us, "its disk")
-        self.world.after(for_us, heal)
+        for_us = random.randint(SECOND_US // 2, 3 * SECOND_US)
+        self.sim.history.record_fault("slow", [node.name], for_us, "its disk")
+        self.world.call_later(for_us, heal)
 
     def _stall(self, random: Random) -> None:
         """A member, most often the leader, stands still and goes on where it was."""
         leaders = [node for node in self.nodes.values() if node.core and node.core.raft.leader_state]
         node = random.choice(leaders or list(self.nodes.values()))
-        for_us = random.randint(SECOND // 10, SECOND)
+        for_us = random.randint(SECOND_US // 10, SECOND_US)
         node.stalled_until_us = self.world.now_us + for_us
-        self.sim.history.fault("pause", [node.name], for_us, "a member")
+        self.sim.history.record_fault("pause", [node.name], for_us, "a member")
 
     def _pause(self, random: Random) -> None:
         """A holder stands still, longer than its lease."""
         holder = random.choice(self.sim.holders)
-        for_us = random.randint(SECOND // 10, 2 * SECOND)
+        for_us = random.randint(SECOND_US // 10, 2 * SECOND_US)
         holder.paused_until_us = self.world.now_us + for_us
-        self.sim.history.fault("pause", [holder.name], for_us, "a holder")
+        self.sim.history.record_fault("pause", [holder.name], for_us, "a holder")
 
     def _old_copy(self, random: Random) -> None:
         """One member's folder is put back from a copy that was made a while ago."""
         # Without that member, a majority of the others has to be able to go on.
-        if self.restores_copy or self.plan.membership:
+        if self.copy_restored or self.plan.changes_membership:
             return
-        self.restores_copy = True
+        self.copy_restored = True
         node = self.nodes[random.choice(self.names)]
-        copy, written = list(node.disk.durable), node.written
+        copy, written = list(node.disk.durable), node.recorded_starts
 
         def put_back(tries: int) -> None:
             """While all others are well, and stay so for a moment: one fault at a time can be found out."""
-            if not self._well_without(node):
+            if not self._others_are_healthy(node):
                 if tries:
-                    self.world.after(SECOND // 5, lambda: put_back(tries - 1))
+                    self.world.call_later(SECOND_US // 5, lambda: put_back(tries - 1))
                 return
             node.crash(machine=True)
-            node.disk.durable, node.written = copy, written
+            node.disk.durable, node.recorded_starts = copy, written
             self.sim.counts["old copies"] += 1
-            self._calm_until_us = self.world.now_us + CALM_US
-            for_us = random.randint(1_000, CALM_US // 2)
-            self.sim.history.fault("kill", [node.name], for_us, "and its folder put back from a copy")
-            self.world.after(for_us, node.start)
+            self._calm_until_us = self.world.now_us + CALM_AFTER_RESTORE_US
+            for_us = random.randint(1_000, CALM_AFTER_RESTORE_US // 2)
+            self.sim.history.record_fault("kill", [node.name], for_us, "and its folder put back from a copy")
+            self.world.call_later(for_us, node.start)
 
-        self.world.after(random.randint(SECOND // 2, 3 * SECOND), lambda: put_back(COPY_TRIES))
+        self.world.call_later(
+            random.randint(SECOND_US // 2, 3 * SECOND_US), lambda: put_back(MAX_RESTORE_ATTEMPTS)
+        )
 
-    def _well_without(self, node: Node) -> bool:
+    def _others_are_healthy(self, node: QuorumNode) -> bool:
         """Whether all other members are up, follow one of them, lag in nothing, and nothing holds them up."""
         others = [other for other in self.nodes.values() if other is not node]
         rafts = [other.core.raft for other in others if other.core]
@@ -167,35 +172,37 @@
             return False
         if max(raft.commit for raft in rafts) > min(raft.log.last_index for raft in rafts):
             return False
-        if any(other.slow_disk_us or other.stalled_until_us > self.world.now_us for other in others):
+        if any(other.extra_sync_delay_us or other.stalled_until_us > self.world.now_us for other in others):
             return False
-        return not self.network.cut and self.network.weather.lost <= self.plan.lost
+        return not self.network.cut_links and self.network.conditions.loss_rate <= self.plan.loss_rate
 
     def _full(self, random: Random) -> None:
         """A disk, or all of them, takes nothing that can wait."""
         some = list(self.names) if random.random() < 0.4 else [random.choice(self.names)]
         for node in (self.nodes[name] for name in some):
-            node.fill(True)
-            for_us = random.randint(SECOND // 2, 3 * SECOND)
-            self.sim.history.fault("limit", [node.name], for_us, "its disk is full")
-            self.world.after(for_us, partial(node.fill, False))
+            node.set_disk_full(True)
+            for_us = random.randint(SECOND_US // 2, 3 * SECOND_US)
+            self.sim.history.record_fault("limit", [node.name], for_us, "its disk is full")
+            self.world.call_later(for_us, partial(node.set_disk_full, False))
 
     def _snapshot(self, random: Random) -> None:
-        self.nodes[random.choice(self.names)].do(lambda member, _: member.compact())
+        self.nodes[random.choice(self.names)].run_step(lambda member, _: member.compact())
 
     def _resign(self, _random: Random) -> None:
         for node in self.nodes.values():
-            node.do(lambda member, now_us: member.step_down(now_us))
+            node.run_step(lambda member, now_us: member.step_down(now_us))
 
     def _storm(self, random: Random) -> None:
-        self.network.weather = Weather(0.2, 0.2, 0.3)
-        for_us = random.randint(SECOND // 2, 2 * SECOND)
-        self.sim.history.fault("datagrams", list(self.names), for_us, "lost, doubled and late")
-        self.world.after(for_us, self.calm)
+        self.network.conditions = NetworkConditions(0.2, 0.2, 0.3)
+        for_us = random.randint(SECOND_US // 2, 2 * SECOND_US)
+        self.sim.history.record_fault("datagrams", list(self.names), for_us, "lost, doubled and late")
+        self.world.call_later(for_us, self.restore_network)
 
-    def calm(self) -> None:
+    def restore_network(self) -> None:
         """The network is as usual."""
-        self.network.weather = Weather(self.plan.lost, self.plan.doubled, self.plan.late)
+        self.network.conditions = NetworkConditions(
+            self.plan.loss_rate, self.plan.duplicate_rate, self.plan.late_rate
+        )
 
     def _change(self, random: Random) -> None:
         """A member is taken out, or one that is out comes back."""
@@ -208,20 +215,20 @@
             name = random.choice(out or list(now))
             then = tuple(sorted(set(now) ^ {name}))
             if len(then) >= 2:
-                tag = self.sim.expect_answer(node.name, lambda _: None)
+                tag = self.sim.register_callback(node.name, lambda _: None)
                 self.sim.counts["changes"] += 1
-                node.do(partial(change_members, tag, then))
+                node.run_step(partial(change_members, tag, then))
             return
 
-    def end(self) -> None:
+    def end_all_faults(self) -> None:
         """All faults end at once, and no machine goes down after a step any more."""
-        self._over = True
-        self.network.cut.clear()
-        self.network.weather = Weather()
+        self._ended = True
+        self.network.cut_links.clear()
+        self.network.conditions = NetworkConditions()
         for node in self.nodes.values():
-            node.slow_disk_us = 0
+            node.extra_sync_delay_us = 0
             node.start()
-            node.fill(False)
+            node.set_disk_full(False)
         for holder in self.sim.holders:
             holder.paused_until_us = 0
 
--- a/fleetlab/sim/quorum/client.py
+++ b/fleetlab/sim/quorum/client.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from fleetlab.sim.quorum.plan import DRIFT, DRIFT_USED
+from fleetlab.sim.quorum.plan import MAX_DRIFT, USED_DRIFT_SHARE
 from fleetlab.sim.world import SimClock
 from quorum.holder import RequestTiming
 from quorum.member import Elsewhere, NoRoom, Request, Response, Unknown
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from fleetlab.sim.quorum.simulation import QuorumSim
 
-PATIENCE_US = 400_000  # of a client for one answer
+ANSWER_TIMEOUT_US = 400_000  # of a client for one answer
 
 
 @dataclass(slots=True)
@@ -24,9 +24,9 @@
     request: Request
     called_us: int
     done: Callable[[Response, int], None]
-    asking: RequestTiming
-    tries: int = 0
-    over: bool = False
+    timing: RequestTiming
+    attempts: int = 0
+    is_answered: bool = False
 
 
 class Client:
@@ -35,37 +35,43 @@
     def __init__(self, sim: QuorumSim, name: str) -> None:
         self.sim, self.name = sim, name
         random = sim.world.random
-        rate = 1 + random.uniform(-DRIFT, DRIFT) * DRIFT_USED
+        rate = 1 + random.uniform(-MAX_DRIFT, MAX_DRIFT) * USED_DRIFT_SHARE
         self.clock = SimClock(sim.world, rate, random.randint(0, 10**9))
         self.leader = ""
 
     def ask(self, request: Request, done: Callable[[Response, int], None]) -> None:
         """Ask until there is an answer that is certain; ``done`` also gets from when it counts."""
-        self._try(PendingRequest(request, self.sim.world.now_us, done, self.sim.parts.asking()))
+        self._send_attempt(
+            PendingRequest(request, self.sim.world.now_us, done, self.sim.parts.request_timing())
+        )
 
-    def _try(self, pending: PendingRequest) -> None:
-        if pending.over:
+    def _send_attempt(self, pending: PendingRequest) -> None:
+        if pending.is_answered:
             return
-        pending.tries += 1
-        number = pending.tries
-        pending.asking.record_sent(self.clock.now_us())
+        pending.attempts += 1
+        number = pending.attempts
+        pending.timing.record_sent(self.clock.now_us())
         names = self.sim.names
         known = self.leader if self.leader in names else self.sim.world.random.choice(names)
-        self.sim.ask(self.name, known, pending.request, lambda answer: self._heard(pending, number, answer))
-        self.sim.world.after(PATIENCE_US, lambda: self._missed(pending, number))
+        self.sim.send_request(
+            self.name, known, pending.request, lambda answer: self._receive_answer(pending, number, answer)
+        )
+        self.sim.world.call_later(ANSWER_TIMEOUT_US, lambda: self._retry_after_timeout(pending, number))
 
-    def _missed(self, pending: PendingRequest, number: int) -> None:
-        if not pending.over and pending.tries == number:
+    def _retry_after_timeout(self, pending: PendingRequest, number: int) -> None:
+        if not pending.is_answered and pending.attempts == number:
             self.leader = ""
-            self._try(pending)
+            self._send_attempt(pending)
 
-    def _heard(self, pending: PendingRequest, number: int, answer: Response) -> None:
-        if pending.over or pending.tries != number:
+    def _receive_answer(self, pending: PendingRequest, number: int, answer: Response) -> None:
+        if pending.is_answered or pending.attempts != number:
             return
-        uncertain = isinstance(answer, NoRoom) and pending.tries > 1  # an earlier try may be done
+        uncertain = isinstance(answer, NoRoom) and pending.attempts > 1  # an earlier try may be done
         if isinstance(answer, Elsewhere | Unknown) or uncertain:
             self.leader = answer.leader if isinstance(answer, Elsewhere) else ""
-            self.sim.world.after(self.sim.world.random.randint(5_000, 60_000), lambda: self._try(pending))
+            self.sim.world.call_later(
+                self.sim.world.random.randint(5_000, 60_000), lambda: self._send_attempt(pending)
+            )
             return
-        pending.over = True
-        pending.done(answer, pending.asking.lease_start_us)
+        pending.is_answered = True
+        pending.done(answer, pending.timing.lease_start_us)
--- a/fleetlab/sim/quorum/history.py
+++ b/fleetlab/sim/quorum/history.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fleetlab.scenario import FaultKind, Scenario
-from fleetlab.sim.quorum.plan import SECOND
+from fleetlab.sim.quorum.plan import SECOND_US
 from fleetlab.sim.world import World
 from standins import records
 
@@ -17,26 +17,26 @@
         head = msgspec.to_builtins(Scenario(about="a schedule of the quorum"))
         self.records: list[records.AnyRecord] = [records.Head(0.0, head["about"], seed, [], {}, head)]
         self._world = world
-        self._faults = 0
+        self._fault_count = 0
 
-    def acted(self, lease: str, holder: str, token: int, admitted: bool) -> None:
+    def record_action(self, lease: str, holder: str, token: int, admitted: bool) -> None:
         """An act came to the fenced resource."""
         self.records.append(records.Acted(self._now_s, "fenced", lease, holder, token, admitted))
 
-    def fault(
+    def record_fault(
         self, kind: FaultKind, on: list[str], for_us: int, note: str, to: list[str] | None = None
     ) -> None:
         """A fault begins, and ends after so long; both stand in the history."""
-        number = self._faults
-        self._faults += 1
+        number = self._fault_count
+        self._fault_count += 1
 
         def add(phase: str) -> None:
             self.records.append(records.Fault(self._now_s, number, kind, phase, on, note, to or []))
 
         add("begin")
-        self._world.after(for_us, lambda: add("end"))
+        self._world.call_later(for_us, lambda: add("end"))
 
     @property
     def _now_s(self) -> float:
         """True time, as histories have it."""
-        return self._world.now_us / SECOND
+        return self._world.now_us / SECOND_US
--- a/fleetlab/sim/quorum/judge.py
+++ b/fleetlab/sim/quorum/judge.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from fleetlab.checks import Run, one_actor
-from fleetlab.sim.linear import Operation, linearizable
+from fleetlab.sim.linear import Operation, is_linearizable
 from quorum.member import Member, NoRoom, Read, Request, Wait, Watch
 from quorum.messages import Committed
 from quorum.raft import Raft, Role
@@ -15,12 +15,12 @@
 from standins import records
 
 if TYPE_CHECKING:
-    from fleetlab.sim.quorum.holder import Holder
-    from fleetlab.sim.quorum.node import Node
+    from fleetlab.sim.quorum.holder import SimHolder
+    from fleetlab.sim.quorum.node import QuorumNode
 
-LOG_LOOK = 40  # steps between looks at whole logs
-STATE_LOOK = 8  # indices between comparisons of whole states
-FIRST_VALUE = b"0"  # of every record
+LOG_CHECK_INTERVAL = 40  # steps between looks at whole logs
+STATE_CHECK_INTERVAL = 8  # indices between comparisons of whole states
+INITIAL_VALUE = b"0"  # of every record
 
 
 class BrokenError(AssertionError):
@@ -31,47 +31,49 @@
         self.rule = rule
 
 
-class Judge:
+class RuleChecker:
     """What was seen of all members and holders; raises ``BrokenError`` at the first rule that breaks."""
 
     def __init__(self) -> None:
         self.leaders: dict[int, str] = {}
         self.entries: dict[int, tuple[int, int, bytes]] = {}
-        self.terms: dict[int, int] = {}  # in which an entry was committed, which is not its own term
+        self.commit_terms: dict[int, int] = {}  # in which an entry was committed, which is not its own term
         self.states: dict[int, bytes] = {}
         self.tokens: dict[int, tuple[int, int]] = {}  # token: session and number of its request
         self.operations: dict[str, list[Operation]] = defaultdict(list)
-        self.first_versions: dict[str, int] = {}  # of each record, before anything goes wrong
+        self.initial_versions: dict[str, int] = {}  # of each record, before anything goes wrong
         self._steps = 0
-        self._complete: tuple[str, int] | None = None  # the leader and term that were found complete last
+        self._last_complete: tuple[str, int] | None = (
+            None  # the leader and term that were found complete last
+        )
 
-    def elected(self, term: int, name: str) -> None:
+    def record_leader(self, term: int, name: str) -> None:
         """A member leads a term."""
         if self.leaders.setdefault(term, name) != name:
             raise BrokenError("election", f"{self.leaders[term]} and {name} lead term {term}")
 
-    def applied(self, name: str, term: int, action: Committed, state: Callable[[], bytes]) -> None:
+    def record_applied(self, name: str, term: int, action: Committed, state: Callable[[], bytes]) -> None:
         """A member has applied an entry in that term; who commits it is the first to do so."""
-        self.terms.setdefault(action.index, term)
+        self.commit_terms.setdefault(action.index, term)
         entry = (action.entry.term, action.entry.kind, action.entry.data)
         if self.entries.setdefault(action.index, entry) != entry:
             raise BrokenError("machine", f"{name} applied another entry at {action.index}")
-        if action.index % STATE_LOOK == 0:
+        if action.index % STATE_CHECK_INTERVAL == 0:
             data = state()
             if self.states.setdefault(action.index, data) != data:
                 raise BrokenError("machine", f"{name} has another state after {action.index}")
 
-    def granted(self, token: int, session: int, seq: int) -> None:
+    def record_grant(self, token: int, session: int, seq: int) -> None:
         """A holder was given a token."""
         owner = (session, seq)
         if self.tokens.setdefault(token, owner) != owner:
             raise BrokenError("token", f"{token} was given to {self.tokens[token]} and {owner}")
 
-    def check_members(self, nodes: Iterable[Node]) -> None:
+    def check_members(self, nodes: Iterable[QuorumNode]) -> None:
         """Rules on all members together, after a step of one."""
         self._steps += 1
         living = [node for node in nodes if node.core is not None]
-        if self._steps % LOG_LOOK == 0:
+        if self._steps % LOG_CHECK_INTERVAL == 0:
             self._check_matching(living)
         for node in living:
             assert node.core is not None
@@ -81,17 +83,17 @@
     def _check_complete(self, name: str, raft: Raft) -> None:
         """A leader has every entry that was committed in an older term (paper, figure 3)."""
         log, term = raft.log, raft.term
-        if self._complete == (name, term):
+        if self._last_complete == (name, term):
             return
-        self._complete = (name, term)
+        self._last_complete = (name, term)
         for index, committed in self.entries.items():
-            if self.terms[index] >= term or index <= log.snapshot.index:
+            if self.commit_terms[index] >= term or index <= log.snapshot.index:
                 continue
             entry = log.entry_at(index) if index <= log.last_index else None
             if entry is None or (entry.term, entry.kind, entry.data) != committed:
                 raise BrokenError("completeness", f"{name} leads term {term} without entry {index}")
 
-    def _check_matching(self, nodes: list[Node]) -> None:
+    def _check_matching(self, nodes: list[QuorumNode]) -> None:
         """Logs that agree on an entry agree on all before it."""
         logs = [(node.name, node.core.raft.log) for node in nodes if node.core is not None]
         for at, (name, log) in enumerate(logs):
@@ -104,10 +106,10 @@
                     if agree and (one.term, one.kind, one.data) != (two.term, two.kind, two.data):
                         raise BrokenError("matching", f"{name} and {other_name} differ at {index}")
 
-    def check_exclusive(self, holder: Holder, holders: Iterable[Holder]) -> None:
+    def check_exclusive(self, holder: SimHolder, holders: Iterable[SimHolder]) -> None:
         """No other may act on the lease of a holder at this moment."""
         for other in holders:
-            held = other.holding
+            held = other.held_lease
             if other is holder or held is None or other.lease != holder.lease:
                 continue
             if held.may_act(other.clock.now_us()):
@@ -123,7 +125,7 @@
         for finding in one_actor(Run(history)):
             raise BrokenError("fence", finding.text)
         for key, operations in self.operations.items():
-            if not linearizable(operations, (self.first_versions[key], FIRST_VALUE), step_record):
+            if not is_linearizable(operations, (self.initial_versions[key], INITIAL_VALUE), step_record):
                 raise BrokenError("linear", f"no order explains what was seen of {key}")
 
 
--- a/fleetlab/sim/quorum/node.py
+++ b/fleetlab/sim/quorum/node.py
@@ -7,7 +7,7 @@
 
 from fleetlab.sim.node import SimNode
 from fleetlab.sim.quorum.judge import BrokenError
-from fleetlab.sim.quorum.plan import DRIFT, DRIFT_USED, NARROW, TIMING
+from fleetlab.sim.quorum.plan import MAX_DRIFT, NARROW_TIMING, TIMING, USED_DRIFT_SHARE
 from fleetlab.sim.world import SimDisk
 from quorum.incarnations import Incarnation, StartupClaim
 from quorum.member import FoldersShunned, Member, Reply
@@ -19,90 +19,92 @@
     from fleetlab.sim.quorum.simulation import QuorumSim
 
 
-class Node(SimNode[Member]):
+class QuorumNode(SimNode[Member]):
     """One member on its machine."""
 
     def __init__(self, sim: QuorumSim, name: str) -> None:
         super().__init__(sim.world, name)
         self.sim = sim
         self.disk: SimDisk[Persist] = SimDisk()
-        self.slow_disk_us = 0
-        self.term = 0  # the latest that others have heard from it
-        self.written = 0  # starts that its folder knows of
-        self.lives = sim.parts.lives(name, {})
-        self.full = False
+        self.extra_sync_delay_us = 0
+        self.announced_term = 0  # the latest that others have heard from it
+        self.recorded_starts = 0  # starts that its folder knows of
+        self.registry = sim.parts.registry(name, {})
+        self.disk_full = False
 
-    def draw_rate(self) -> float:
+    def draw_clock_rate(self) -> float:
         """Within the stated bound of drift."""
-        return 1 + self.world.random.uniform(-DRIFT, DRIFT) * DRIFT_USED
+        return 1 + self.world.random.uniform(-MAX_DRIFT, MAX_DRIFT) * USED_DRIFT_SHARE
 
     def create_core(self) -> Member:
         """A member from what the disk has; ``BrokenError`` where its term went back."""
-        self.written += 1
+        self.recorded_starts += 1
         # What others promised was not on its disk; whom it heard last was.
-        self.lives = self.sim.parts.lives(self.name, self.lives.known, self.lives.shunned)
-        self.known_as = Incarnation(self.name, self.written, str(self.generation))
+        self.registry = self.sim.parts.registry(self.name, self.registry.known, self.registry.shunned)
+        self.incarnation = Incarnation(self.name, self.recorded_starts, str(self.generation))
         folded = LogReplay()
         for item in self.disk.durable:
             folded.add(item)
         member = self.sim.parts.member(
             self.name, self.sim.names, saved=folded.saved, draw=self.world.random.randint,
-            timing=NARROW if self.sim.plan.narrow else TIMING,
-            now_us=self.clock.now_us(), raft=self.sim.parts.raft, state=self.sim.parts.machine,
-            clocks=self.sim.parts.clocks, watch=partial(self.sim.applied, self.name),
+            timing=NARROW_TIMING if self.sim.plan.narrow_elections else TIMING,
+            now_us=self.clock.now_us(), raft=self.sim.parts.raft, state=self.sim.parts.state_machine,
+            clocks=self.sim.parts.lease_timers, watch=partial(self.sim.on_applied, self.name),
         )  # fmt: skip
-        self.claim = StartupClaim(member.raft.term, member.raft.vote, member.raft.log.last_index)
-        if self.full:
+        self.startup_claim = StartupClaim(member.raft.term, member.raft.vote, member.raft.log.last_index)
+        if self.disk_full:
             member.set_disk_full(self.clock.now_us(), True)
-        if member.raft.term < self.term and not self.sim.adversary.restores_copy:
+        if member.raft.term < self.announced_term and not self.sim.adversary.copy_restored:
             raise BrokenError("term", f"{self.name} came back with an older term")
         return member
 
-    def fill(self, full: bool) -> None:
+    def set_disk_full(self, full: bool) -> None:
         """Its disk is full, or has room again."""
-        self.full = full
-        self.do(lambda member, now_us: member.set_disk_full(now_us, full))
+        self.disk_full = full
+        self.run_step(lambda member, now_us: member.set_disk_full(now_us, full))
 
     def crash(self, machine: bool) -> None:
         """The process ends; with its machine, what was not synced may be gone."""
         if self.core is None:
             return
         self.core = None
-        self.disk.synced(lambda _: not machine)
+        self.disk.mark_durable(lambda _: not machine)
         self.disk.crash(self.world.random)
 
-    def carry_out(self, actions: list[Any]) -> None:
+    def execute_actions(self, actions: list[Any]) -> None:
         """What follows from a step of the member, and a look at the rules; the machine may go down then."""
         assert self.core is not None
         raft = self.core.raft
         if raft.role is Role.LEADER:
-            self.sim.judge.elected(raft.term, self.name)
+            self.sim.rules.record_leader(raft.term, self.name)
         for item in actions:
             match item:
                 case Send():
                     if not getattr(item.message, "pre", False):
-                        self.term = max(self.term, item.message.term)
-                    self.sim.network.send(self.name, item.to, (self.known_as, self.claim, item.message))
+                        self.announced_term = max(self.announced_term, item.message.term)
+                    self.sim.network.send(
+                        self.name, item.to, (self.incarnation, self.startup_claim, item.message)
+                    )
                 case Persist():
                     self._write(item)
                 case Reply():
-                    self.sim.answered(self.name, item)
+                    self.sim.on_answer(self.name, item)
                 case FoldersShunned():
                     for folder in item.folders:
-                        self.lives.shun(folder)
-        self.sim.judge.check_members(self.sim.nodes.values())
-        if self.sim.adversary.strikes_after(actions):
+                        self.registry.shun(folder)
+        self.sim.rules.check_members(self.sim.nodes.values())
+        if self.sim.adversary.crashes_after_step(actions):
             self.crash(machine=True)
-            self.world.after(self.world.random.randint(1_000, 100_000), self.start)
+            self.world.call_later(self.world.random.randint(1_000, 100_000), self.start)
 
     def _write(self, item: Persist) -> None:
         self.disk.write(item)
         generation = self.generation
-        delay_us = self.world.random.randint(100, 4_000) + self.slow_disk_us
-        self.world.after(delay_us, lambda: self._synced(generation, item.number))
+        delay_us = self.world.random.randint(100, 4_000) + self.extra_sync_delay_us
+        self.world.call_later(delay_us, lambda: self._complete_sync(generation, item.number))
 
-    def _synced(self, generation: int, number: int) -> None:
+    def _complete_sync(self, generation: int, number: int) -> None:
         if self.core is None or generation != self.generation:
             return
-        self.disk.synced(lambda item: item.number <= number)
-        self.do(lambda member, now_us: member.synced(now_us, number))
+        self.disk.mark_durable(lambda item: item.number <= number)
+        self.run_step(lambda member, now_us: member.synced(now_us, number))
--- a/fleetlab/sim/quorum/plan.py
+++ b/fleetlab/sim/quorum/plan.py
@@ -12,15 +12,15 @@
 from quorum.raft import Raft, Timing
 from quorum.state_machine import StateMachine
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 TIMING = Timing(min_election_us=150_000, max_election_us=300_000, heartbeat_us=40_000)
-NARROW = Timing(min_election_us=150_000, max_election_us=165_000, heartbeat_us=40_000)
+NARROW_TIMING = Timing(min_election_us=150_000, max_election_us=165_000, heartbeat_us=40_000)
 LEASES = ("sweep", "share")
 KEYS = ("a", "b")
-TTL_MS = 900
-DELAY_MS = 300
-DRIFT = 0.01  # the stated bound of clocks
-DRIFT_USED = 0.9  # the share of that bound which clocks here take up
+LEASE_TTL_MS = 900
+LEASE_DELAY_MS = 300
+MAX_DRIFT = 0.01  # the stated bound of clocks
+USED_DRIFT_SHARE = 0.9  # the share of that bound which clocks here take up
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,13 +28,13 @@
     """The classes under test; a planted bug is another class in the place of one."""
 
     raft: type[Raft] = Raft
-    machine: type[StateMachine] = StateMachine
+    state_machine: type[StateMachine] = StateMachine
     member: type[Member] = Member
-    holding: type[HeldLease] = HeldLease
+    held_lease: type[HeldLease] = HeldLease
     fence: type[Fence] = Fence
-    asking: type[RequestTiming] = RequestTiming
-    clocks: type[LeaseTimers] = LeaseTimers
-    lives: type[IncarnationRegistry] = IncarnationRegistry
+    request_timing: type[RequestTiming] = RequestTiming
+    lease_timers: type[LeaseTimers] = LeaseTimers
+    registry: type[IncarnationRegistry] = IncarnationRegistry
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,25 +44,27 @@
     members: int = 3
     holders: int = 4
     seconds: int = 12
-    faults: int = 10
-    lost: float = 0.02
-    doubled: float = 0.02
-    late: float = 0.03
-    membership: bool = False
-    narrow: bool = False  # election times hardly differ, so that votes are split often
-    kinds: tuple[str, ...] = ()  # of faults; empty: all
-    sudden: float = 0.0  # chance that a machine goes down right after a step in which it promised something
+    fault_count: int = 10
+    loss_rate: float = 0.02
+    duplicate_rate: float = 0.02
+    late_rate: float = 0.03
+    changes_membership: bool = False
+    narrow_elections: bool = False  # election times hardly differ, so that votes are split often
+    fault_kinds: tuple[str, ...] = ()  # of faults; empty: all
+    crash_after_step_rate: float = (
+        0.0  # chance that a machine goes down right after a step in which it promised something
+    )
 
 
-def plan_of(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     """A schedule's shape, drawn from its seed too."""
     random = Random(seed * 7919)
     return Plan(
         members=random.choice([3, 3, 5]),
         holders=random.choice([3, 4, 6]),
         seconds=random.choice([6, 10]),
-        faults=random.choice([3, 8, 14]),
-        membership=random.random() < 0.3,
-        narrow=random.random() < 0.3,
-        sudden=random.choice([0.0, 0.0005, 0.003]),
+        fault_count=random.choice([3, 8, 14]),
+        changes_membership=random.random() < 0.3,
+        narrow_elections=random.random() < 0.3,
+        crash_after_step_rate=random.choice([0.0, 0.0005, 0.003]),
     )
--- a/fleetlab/sim/world.py
+++ b/fleetlab/sim/world.py
@@ -22,22 +22,22 @@
         self.random = Random(seed)
         self.now_us = 0
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
-        self._numbers = count()
-        self.steps = 0
+        self._sequence_numbers = count()
+        self.events_run = 0
 
-    def at(self, time_us: int, work: Callable[[], None]) -> None:
+    def call_at(self, time_us: int, work: Callable[[], None]) -> None:
         """Something that happens then, or now where that has passed."""
-        heapq.heappush(self._queue, (max(self.now_us, time_us), next(self._numbers), work))
+        heapq.heappush(self._queue, (max(self.now_us, time_us), next(self._sequence_numbers), work))
 
-    def after(self, delay_us: int, work: Callable[[], None]) -> None:
+    def call_later(self, delay_us: int, work: Callable[[], None]) -> None:
         """Something that happens so much later."""
-        self.at(self.now_us + delay_us, work)
+        self.call_at(self.now_us + delay_us, work)
 
-    def run(self, until_us: int) -> None:
+    def run_until(self, until_us: int) -> None:
         """Let all happen up to a time."""
         while self._queue and self._queue[0][0] <= until_us:
             self.now_us, _, work = heapq.heappop(self._queue)
-            self.steps += 1
+            self.events_run += 1
             work()
         self.now_us = until_us
 
@@ -54,21 +54,21 @@
         """What it shows."""
         return self.offset_us + int(self.world.now_us * self.rate)
 
-    def true_us(self, shown_us: int) -> int:
+    def true_time_us(self, shown_us: int) -> int:
         """When it shows that."""
         return int((shown_us - self.offset_us) / self.rate) + 1
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkConditions:
     """How the network is."""
 
-    lost: float = 0.0
-    doubled: float = 0.0
-    late: float = 0.0  # share of messages that come much later, behind others
-    least_us: int = 200
-    most_us: int = 3_000
-    late_us: int = 400_000
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    late_rate: float = 0.0  # share of messages that come much later, behind others
+    min_delay_us: int = 200
+    max_delay_us: int = 3_000
+    max_extra_delay_us: int = 400_000
 
 
 class Network(Generic[T]):
@@ -76,22 +76,22 @@
 
     def __init__(self, world: World, deliver: Callable[[str, str, T], None]) -> None:
         self._world, self._deliver = world, deliver
-        self.weather = Weather()
-        self.cut: set[tuple[str, str]] = set()
+        self.conditions = NetworkConditions()
+        self.cut_links: set[tuple[str, str]] = set()
 
     def send(self, sender: str, to: str, message: T) -> None:
         """A message on its way."""
-        random, weather = self._world.random, self.weather
-        if (sender, to) in self.cut or random.random() < weather.lost:
+        random, weather = self._world.random, self.conditions
+        if (sender, to) in self.cut_links or random.random() < weather.loss_rate:
             return
-        for _ in range(2 if random.random() < weather.doubled else 1):
-            delay_us = random.randint(weather.least_us, weather.most_us)
-            if random.random() < weather.late:
-                delay_us += random.randint(0, weather.late_us)
-            self._world.after(delay_us, lambda: self._arrive(sender, to, message))
-
-    def _arrive(self, sender: str, to: str, message: T) -> None:
-        if (sender, to) not in self.cut:
+        for _ in range(2 if random.random() < weather.duplicate_rate else 1):
+            delay_us = random.randint(weather.min_delay_us, weather.max_delay_us)
+            if random.random() < weather.late_rate:
+                delay_us += random.randint(0, weather.max_extra_delay_us)
+            self._world.call_later(delay_us, lambda: self._deliver_unless_cut(sender, to, message))
+
+    def _deliver_unless_cut(self, sender: str, to: str, message: T) -> None:
+        if (sender, to) not in self.cut_links:
             self._deliver(sender, to, message)
 
 
@@ -106,7 +106,7 @@
         """A write that is not durable yet."""
         self.pending.append(item)
 
-    def synced(self, upto: Callable[[T], bool]) -> None:
+    def mark_durable(self, upto: Callable[[T], bool]) -> None:
         """Writes at the front that a sync covers become durable."""
         while self.pending and upto(self.pending[0]):
             self.durable.append(self.pending.pop(0))
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from random import Random
 
-from fleetlab.sim.members import PeersSim, Plan
+from fleetlab.sim.members import MembershipSim, Plan
 from membership.core import LIVE_STATES, MAX_MEMBERS, SECOND_US, MembershipCore, Settings
 from membership.messages import Ack, Exchange, Gossip, Ping, SendMessage, State, Update
 from membership.sampling_pool import SamplingPool
@@ -97,8 +97,8 @@
 
 def test_a_larger_fleet_agrees() -> None:
     """All of them join within a second; nobody is declared failed."""
-    sim = PeersSim(1, Plan(members=120))
+    sim = MembershipSim(1, Plan(members=120))
     sim.start_all(SECOND_US)
     sim.run(1.0)
-    assert sim.until_agreed(40) is not None
+    assert sim.run_until_agreed(40) is not None
     assert sim.false_alarms == []
--- a/tests/membership/test_sim.py
+++ b/tests/membership/test_sim.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from fleetlab.sim.members import PeersSim, Plan
-from fleetlab.sim.world import Weather
+from fleetlab.sim.members import MembershipSim, Plan
+from fleetlab.sim.world import NetworkConditions
 from membership.core import SECOND_US, MembershipCore, Settings
 from membership.messages import Gossip, Replaced, State, Update
 
@@ -18,16 +18,18 @@
     exchange_interval_us=5 * SECOND_US,
     failed_probe_interval_us=2 * SECOND_US,
 )
-FAR = Weather(lost=0.01, least_us=50_000, most_us=130_000)
-BAD = Weather(lost=0.3, doubled=0.1, late=0.1, least_us=200, most_us=3_000)
+FAR = NetworkConditions(loss_rate=0.01, min_delay_us=50_000, max_delay_us=130_000)
+BAD = NetworkConditions(
+    loss_rate=0.3, duplicate_rate=0.1, late_rate=0.1, min_delay_us=200, max_delay_us=3_000
+)
 
 
-def fleet(seed: int, plan: Plan) -> PeersSim:
+def fleet(seed: int, plan: Plan) -> MembershipSim:
     """One that has come up and agrees."""
-    sim = PeersSim(seed, plan)
+    sim = MembershipSim(seed, plan)
     sim.start_all(SECOND_US)
     sim.run(1.0)
-    assert sim.until_agreed(30) is not None
+    assert sim.run_until_agreed(30) is not None
     return sim
 
 
@@ -38,23 +40,23 @@
     sim = fleet(seed, Plan(members=members, settings=FAST))
     sim.kill("m1")
     sim.run(40)
-    found = sim.detection_s("m1")
+    found = sim.detection_times_s("m1")
     assert found is not None
     assert found[1] < 25
-    assert sim.agreed()
+    assert sim.is_agreed()
     sim.restart("m1")
-    assert sim.until_agreed(20) is not None
+    assert sim.run_until_agreed(20) is not None
     assert sim.false_alarms == []
 
 
 def test_two_halves_find_together_again() -> None:
     """Each holds the other failed after a while; once the way is open all are back, by their own word."""
     sim = fleet(1, Plan(members=20, settings=FAST))
-    sim.halve()
+    sim.partition()
     sim.run(60)
     assert {len(view) for view in sim.views().values()} == {10}
     sim.heal()
-    assert sim.until_agreed(60) is not None
+    assert sim.run_until_agreed(60) is not None
     assert sim.false_alarms == []
 
 
@@ -64,9 +66,9 @@
     gone = sim.names[3:24]
     sim.kill(*gone)
     sim.run(60)
-    assert sim.agreed()
+    assert sim.is_agreed()
     sim.restart(*gone)
-    assert sim.until_agreed(60) is not None
+    assert sim.run_until_agreed(60) is not None
     assert sim.false_alarms == []
 
 
@@ -78,7 +80,7 @@
         sim.run(0.3)
         sim.restart(name)
         sim.run(0.3)
-    assert sim.until_agreed(40) is not None
+    assert sim.run_until_agreed(40) is not None
     assert all(node.generation == 2 for node in sim.nodes.values())
 
 
@@ -86,10 +88,10 @@
     """Living, reachable, timely members that were declared failed, over some runs."""
     count = 0
     for seed in seeds:
-        sim = fleet(seed, replace(plan, weather=Plan().weather))
-        sim.network.weather = plan.weather
+        sim = fleet(seed, replace(plan, conditions=Plan().conditions))
+        sim.network.conditions = plan.conditions
         for name in sim.names[:slow]:
-            sim.stop_and_go(name, 0.15, seconds)
+            sim.run_intermittently(name, 0.15, seconds)
         sim.run(seconds)
         count += len(sim.false_alarms)
     return count
@@ -97,7 +99,7 @@
 
 def test_losses_make_nobody_fail() -> None:
     """Three in ten datagrams, some doubled and some late; without indirect probes they do."""
-    plan = Plan(members=20, settings=FAST, weather=BAD)
+    plan = Plan(members=20, settings=FAST, conditions=BAD)
     assert alarms(plan, range(3)) == 0
     hasty = replace(FAST, indirect_probes=0, suspicion_multiplier=1.0, max_suspicion_ratio=1.0)
     assert alarms(replace(plan, settings=hasty), range(3)) > 0
@@ -105,7 +107,7 @@
 
 def test_slow_members_make_no_healthy_one_fail() -> None:
     """A tenth that run by fits and starts; without patience, or where nobody refutes, they do."""
-    plan = Plan(members=20, settings=FAST, weather=FAR)
+    plan = Plan(members=20, settings=FAST, conditions=FAR)
     assert alarms(plan, range(3), slow=2) == 0
     hasty = replace(FAST, suspicion_multiplier=0.5, max_suspicion_ratio=1.0, max_local_health=0)
     assert alarms(replace(plan, settings=hasty), range(2), slow=2) > 0
@@ -150,20 +152,20 @@
 
 def churned(core: type[MembershipCore], seed: int) -> tuple[bool, int]:
     """A fleet with losses, restarts and a cut: whether it agrees within a minute after, and false alarms."""
-    sim = PeersSim(seed, Plan(members=12, settings=FAST, core=core))
+    sim = MembershipSim(seed, Plan(members=12, settings=FAST, core=core))
     sim.start_all(SECOND_US)
     sim.run(10)
-    sim.network.weather = BAD
+    sim.network.conditions = BAD
     sim.kill("m3", "m4")
     sim.run(15)
     sim.restart("m3")
     ways = {("m5", name) for name in sim.names if name != "m5"}
-    sim.cut(ways)  # it hears, and is not heard
+    sim.cut_links(ways)  # it hears, and is not heard
     sim.run(15)
     sim.restart("m4")
     sim.heal()
-    sim.network.weather = Plan().weather
-    return sim.until_agreed(60) is not None, len(sim.false_alarms)
+    sim.network.conditions = Plan().conditions
+    return sim.run_until_agreed(60) is not None, len(sim.false_alarms)
 
 
 def test_a_fleet_that_was_shaken_agrees() -> None:
--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -51,7 +51,7 @@
             folded.add(item)
         self.members[name] = self.parts.member(
             name, self.names, saved=folded.saved, timing=TIMING, draw=lambda low, _: low, now_us=self.now_us,
-            raft=self.parts.raft, state=self.parts.machine,
+            raft=self.parts.raft, state=self.parts.state_machine,
         )  # fmt: skip
 
     def carry_out(self, name: str, out: list[Output]) -> None:
@@ -246,24 +246,26 @@
 
 def old_copies_are_not_heard(parts: Parts) -> bool:
     """Missing promises, earlier starts, twins and other folders are rejected; a restart is not."""
-    incarnations = parts.lives("m0", {})
+    incarnations = parts.registry("m0", {})
     first, second = Incarnation("f", 1, "a"), Incarnation("f", 2, "b")
     incarnations.accept("m1", first)
     incarnations.record_message("m1", VoteResponse(5, True))
     incarnations.record_message("m1", AppendResponse(5, True, 9, 1))
     accepted_claims = [StartupClaim(5, "m0", 9), StartupClaim(5, "m0", 12), StartupClaim(6, "", 3)]
-    assert all(not parts.lives("m0", {}).rejection_reason("m1", second, claim) for claim in accepted_claims)
+    assert all(
+        not parts.registry("m0", {}).rejection_reason("m1", second, claim) for claim in accepted_claims
+    )
     assert all(not incarnations.rejection_reason("m1", second, claim) for claim in accepted_claims)
     reasons = []
     for claim in (StartupClaim(4, "", 9), StartupClaim(5, "m2", 9), StartupClaim(5, "m0", 8)):
-        incarnations = parts.lives("m0", {"m1": first})
+        incarnations = parts.registry("m0", {"m1": first})
         incarnations.record_message("m1", VoteResponse(5, True))
         incarnations.record_message("m1", AppendResponse(5, True, 9, 1))
         reasons.append(incarnations.rejection_reason("m1", second, claim))
         reasons.append(
             incarnations.rejection_reason("m1", Incarnation("f", 3, "c"), accepted_claims[0])
         )  # shunned from now on
-    registry = parts.lives("m0", {"m1": second})
+    registry = parts.registry("m0", {"m1": second})
     rejected = (first, Incarnation("f", 2, "twin"), Incarnation("other", 1, "x"))
     reasons += [registry.rejection_reason("m1", life, accepted_claims[0]) for life in rejected]
     return all(reasons)
--- a/tests/quorum/test_model.py
+++ b/tests/quorum/test_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fleetlab.sim.model import SMALL, Explored, Limits, explore
+from fleetlab.sim.model import SMALL_LIMITS, ExplorationResult, Limits, explore
 from tests.quorum.planted_bugs import BUGS
 
 # A small configuration in which each bug shows, and the rule that it breaks.
@@ -22,20 +22,22 @@
 
 
 @pytest.fixture(scope="module")
-def explored() -> list[Explored]:
+def explored() -> list[ExplorationResult]:
     """Explore all small configurations in several processes."""
     with ProcessPoolExecutor(4) as pool:
-        return list(pool.map(explore, SMALL))
+        return list(pool.map(explore, SMALL_LIMITS))
 
 
-def test_every_state_holds_every_rule(explored: list[Explored]) -> None:
+def test_every_state_holds_every_rule(explored: list[ExplorationResult]) -> None:
     """No state of any of the small configurations breaks a rule."""
-    assert [found.rule for found in explored] == [""] * len(SMALL)
+    assert [found.rule for found in explored] == [""] * len(SMALL_LIMITS)
 
 
-def test_the_states_are_many_and_something_happens_in_them(explored: list[Explored]) -> None:
+def test_the_states_are_many_and_something_happens_in_them(explored: list[ExplorationResult]) -> None:
     """The exploration is not vacuous: there are many states, and leases are held in many of them."""
-    assert [found.states for found in explored] == [found.states for found in explored if found.held > 5_000]
+    assert [found.states for found in explored] == [
+        found.states for found in explored if found.held_states > 5_000
+    ]
     assert sum(found.states for found in explored) > 500_000
 
 
--- a/tests/quorum/test_sim.py
+++ b/tests/quorum/test_sim.py
@@ -10,8 +10,17 @@
 
 from fleetlab.checks import Run, one_actor
 from fleetlab.scenario import FaultKind
-from fleetlab.sim.linear import FOREVER, Operation, linearizable
-from fleetlab.sim.quorum import Campaign, Parts, QuorumSim, campaign, kept, plan_of, played, step_record
+from fleetlab.sim.linear import FOREVER, Operation, is_linearizable
+from fleetlab.sim.quorum import (
+    CampaignResult,
+    Parts,
+    QuorumSim,
+    draw_plan,
+    record_schedule,
+    run_campaign,
+    run_schedules,
+    step_record,
+)
 from quorum.member import Read, Told
 from quorum.state_machine import Done, Put, Refused
 from standins import records
@@ -36,18 +45,18 @@
 
 
 @pytest.fixture(scope="module")
-def result() -> Campaign:
+def result() -> CampaignResult:
     """Run all schedules in several processes."""
-    return campaign(SCHEDULES, 4)
+    return run_campaign(SCHEDULES, 4)
 
 
-def test_every_schedule_holds_every_rule(result: Campaign) -> None:
+def test_every_schedule_holds_every_rule(result: CampaignResult) -> None:
     """Under crashes, cuts, clock drift, slow disks, stalls, membership changes and snapshots, by seed."""
-    assert result.broken == []
-    assert result.played == len(SCHEDULES)
+    assert result.failures == []
+    assert result.schedules == len(SCHEDULES)
 
 
-def test_the_schedules_have_something_in_them(result: Campaign) -> None:
+def test_the_schedules_have_something_in_them(result: CampaignResult) -> None:
     """The schedules are not vacuous: they have grants, elections, fenced actions, membership changes."""
     assert result.counts["held"] > 20 * len(SCHEDULES)
     assert result.counts["terms"] > 2 * len(SCHEDULES)
@@ -62,32 +71,32 @@
 def test_a_planted_bug_breaks_a_rule(name: str) -> None:
     """The broken rule is one of those that the bug can break."""
     bug = BUGS[name]
-    found = played(FOUND_AT[name], bug.parts, stop=True)
-    assert found.broken, f"not found in {found.played} schedules"
-    assert found.broken[0][1] in bug.rules
+    found = run_schedules(FOUND_AT[name], bug.parts, stop=True)
+    assert found.failures, f"not found in {found.schedules} schedules"
+    assert found.failures[0][1] in bug.rules
 
 
 @pytest.mark.parametrize("seed", KEPT)
 def test_a_schedule_that_once_failed_holds(seed: int) -> None:
     """A lease was counted from the last repeat of its request, though an earlier attempt took effect."""
-    plan = replace(plan_of(seed), kinds=OLDER)
+    plan = replace(draw_plan(seed), fault_kinds=OLDER)
     QuorumSim(seed, plan).run()
 
 
 def test_a_seed_gives_the_same_run() -> None:
     """All counts of two runs with the same seed are equal."""
-    assert QuorumSim(7, plan_of(7)).run() == QuorumSim(7, plan_of(7), Parts()).run()
+    assert QuorumSim(7, draw_plan(7)).run() == QuorumSim(7, draw_plan(7), Parts()).run()
 
 
 def test_a_schedules_history_is_one_of_the_labs(tmp_path: Path) -> None:
     """It uses the lab's names of faults, and the lab's checker finds the actions that no fence rejected."""
     for seed in range(4):
-        assert kept(seed, tmp_path / "good") == ""
+        assert record_schedule(seed, tmp_path / "good") == ""
         run = Run(records.read_history(tmp_path / "good"))
         assert {fault.kind for fault in run.faults} <= set(get_args(FaultKind))
         assert run.acts
         assert one_actor(run) == []
-    assert kept(0, tmp_path / "bad", BUGS["no fence"].parts).startswith("fence")
+    assert record_schedule(0, tmp_path / "bad", BUGS["no fence"].parts).startswith("fence")
     assert one_actor(Run(records.read_history(tmp_path / "bad"))) != []
 
 
@@ -119,4 +128,4 @@
 )
 def test_the_linearizability_checker(operations: list[Operation], holds: bool) -> None:
     """Small histories are judged correctly."""
-    assert linearizable(operations, START, step_record) is holds
+    assert is_linearizable(operations, START, step_record) is holds
--- a/tests/scale/test_members.py
+++ b/tests/scale/test_members.py
@@ -9,8 +9,8 @@
 from fleetlab.scale.fit import growth_exponent
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subjects import members, members_faults
-from fleetlab.sim.members import PeersSim, Plan
-from fleetlab.sim.settled import SettledPeers, SettledSim
+from fleetlab.sim.members import MembershipSim, Plan
+from fleetlab.sim.settled import SettledMember, SettledSim
 from membership.core import SECOND_US
 from membership.messages import Exchange, Update
 
@@ -20,7 +20,7 @@
 Play = Callable[[SettledSim], list[Reading]]
 
 
-class ResendsWholeView(SettledPeers):
+class ResendsWholeView(SettledMember):
     """A planted quadratic: each change has the whole view told again."""
 
     def _enqueue_update(self, update: Update) -> None:
@@ -29,7 +29,7 @@
             super()._enqueue_update(held.update)
 
 
-class ExchangesWithAll(SettledPeers):
+class ExchangesWithAll(SettledMember):
     """A planted quadratic: whole views go to all others in place of one."""
 
     def _start_exchange(self) -> None:
@@ -38,13 +38,13 @@
             self._send(name, Exchange(self.own_update.address, self._full_view(), wants_reply=False))
 
 
-def counts(play: Play, size: int, core: type[SettledPeers] = SettledPeers) -> dict[str, float]:
+def counts(play: Play, size: int, core: type[SettledMember] = SettledMember) -> dict[str, float]:
     """The counts of one phase in a fleet of that size."""
     readings = play(SettledSim(SEED, size, core))
     return {item.figure: item.value for item in readings if item.source is Source.COUNT}
 
 
-def growth(play: Play, core: type[SettledPeers] = SettledPeers) -> dict[str, float]:
+def growth(play: Play, core: type[SettledMember] = SettledMember) -> dict[str, float]:
     """The power of the size by which each count grows."""
     by_size = {size: counts(play, size, core) for size in SIZES}
     return {
@@ -96,14 +96,14 @@
 def test_a_fleet_that_begins_settled_sends_what_one_that_came_up_sends() -> None:
     """Datagrams and whole exchanges over a minute and a half, within a tenth and a third."""
 
-    def sent(sim: PeersSim) -> tuple[int, int]:
+    def sent(sim: MembershipSim) -> tuple[int, int]:
         sim.run(60)
         before = sim.sent.copy()
         sim.run(90)
         new = sim.sent - before
         return new.total() - new["Exchange"], new["Exchange"]
 
-    came_up = PeersSim(SEED, Plan(20))
+    came_up = MembershipSim(SEED, Plan(20))
     came_up.start_all(SECOND_US)
     datagrams, exchanges = sent(came_up)
     settled_datagrams, settled_exchanges = sent(SettledSim(SEED, 20))
--- a/tools/cost/__main__.py
+++ b/tools/cost/__main__.py
@@ -19,13 +19,13 @@
 from typing import Any, NoReturn
 
 from tools.cost import table
-from tools.cost.play import Checkout, checkout, played
+from tools.cost.play import Checkout, load_checkout, run_play
 from tools.cost.reading import CostError, Figures
 from tools.cost.scenarios import SCENARIOS
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-MOST_PAIRS = 50
-BUILD_S = 1200  # s that a build may take
+MAX_PAIRS = 50
+BUILD_TIMEOUT_S = 1200  # s that a build may take
 
 
 class Parser(argparse.ArgumentParser):
@@ -35,7 +35,7 @@
         raise CostError(message)
 
 
-def options(arguments: list[str]) -> argparse.Namespace:
+def parse_options(arguments: list[str]) -> argparse.Namespace:
     """The command line; what it does not allow ends the program with one line."""
     parser = Parser(prog="python -m tools.cost", description=__doc__)
     parser.add_argument("scenarios", nargs="*", help=f"all unless named: {', '.join(SCENARIOS)}")
@@ -48,8 +48,8 @@
     chosen = parser.parse_args(arguments)
     if unknown := [name for name in chosen.scenarios if name not in SCENARIOS]:
         raise CostError(f"unknown scenario {unknown[0]!r}; there are {', '.join(SCENARIOS)}")
-    if not 1 <= chosen.pairs <= MOST_PAIRS:
-        raise CostError(f"--pairs: from 1 to {MOST_PAIRS}")
+    if not 1 <= chosen.pairs <= MAX_PAIRS:
+        raise CostError(f"--pairs: from 1 to {MAX_PAIRS}")
     if chosen.json is not None and not chosen.json.parent.is_dir():
         raise CostError(f"--json: no folder {chosen.json.parent}")
     if chosen.profile is not None and not chosen.profile.is_dir():
@@ -57,7 +57,7 @@
     return chosen
 
 
-def unpacked(revision: str, folder: Path) -> Path:
+def unpack_revision(revision: str, folder: Path) -> Path:
     """The files of a revision, in a folder of their own."""
     command = ["git", "-C", str(ROOT), "archive", "--format=tar", revision]
     done = subprocess.run(command, capture_output=True, check=False)
@@ -68,13 +68,13 @@
     return folder
 
 
-def built(name: str, root: Path) -> Checkout:
+def build_checkout(name: str, root: Path) -> Checkout:
     """A checkout after its deploy file's ``build``."""
-    found = checkout(name, root)
+    found = load_checkout(name, root)
     build = tomllib.loads((root / "deploy" / "balancer.toml").read_text(encoding="utf-8")).get("build")
     if build:
         done = subprocess.run(
-            ["/bin/sh", "-c", build], cwd=root, capture_output=True, timeout=BUILD_S, check=False
+            ["/bin/sh", "-c", build], cwd=root, capture_output=True, timeout=BUILD_TIMEOUT_S, check=False
         )
         if done.returncode:
             lines = done.stderr.decode(errors="replace").strip().splitlines()
@@ -82,7 +82,7 @@
     return found
 
 
-async def measured(
+async def measure_scenario(
     sources: list[Checkout], scenario: str, pairs: int, profiles: Path | None
 ) -> list[list[Figures]]:
     """The plays of each source: times from plain plays, taken in turns, and counts from one more of each.
@@ -92,34 +92,38 @@
     counts = []
     for source in sources:
         profile = profiles / f"{scenario}.profile" if profiles is not None and source is sources[-1] else None
-        counts.append(await played(source, SCENARIOS[scenario], True, profile))
+        counts.append(await run_play(source, SCENARIOS[scenario], True, profile))
     plays: list[list[Figures]] = [[] for _ in sources]
     for pair in range(pairs):
         order = list(range(len(sources)))
         for at in order if pair % 2 == 0 else reversed(order):
-            figures = await played(sources[at], SCENARIOS[scenario], False)
+            figures = await run_play(sources[at], SCENARIOS[scenario], False)
             plays[at].append(counts[at] | figures)
     return plays
 
 
-async def run(chosen: argparse.Namespace, sources: list[Checkout]) -> dict[str, list[list[Figures]]]:
+async def run_scenarios(
+    chosen: argparse.Namespace, sources: list[Checkout]
+) -> dict[str, list[list[Figures]]]:
     """All scenarios, one after the other, with a line for who waits."""
     results = {}
     for scenario in chosen.scenarios or list(SCENARIOS):
         print(f"playing {scenario} ...", file=sys.stderr, flush=True)
-        results[scenario] = await measured(sources, scenario, chosen.pairs, chosen.profile)
+        results[scenario] = await measure_scenario(sources, scenario, chosen.pairs, chosen.profile)
     return results
 
 
-async def ended_by_signal(chosen: argparse.Namespace, sources: list[Checkout]) -> Any:
+async def run_until_signal(chosen: argparse.Namespace, sources: list[Checkout]) -> Any:
     """The same; SIGTERM ends it as SIGINT does, with every process taken down."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await run(chosen, sources)
+    return await run_scenarios(chosen, sources)
 
 
-def told(results: dict[str, list[list[Figures]]], sources: list[Checkout]) -> tuple[str, dict[str, Any]]:
+def format_results(
+    results: dict[str, list[list[Figures]]], sources: list[Checkout]
+) -> tuple[str, dict[str, Any]]:
     """The table, and everything as JSON."""
     everything: dict[str, Any] = {
         "revisions": [source.name for source in sources],
@@ -133,23 +137,23 @@
             scenario: {name: median(play[name] for play in plays[0]) for name in plays[0][0]}
             for scenario, plays in results.items()
         }
-        return table.single(medians), everything
-    ratios = {scenario: table.compared(*plays) for scenario, plays in results.items()}
+        return table.format_figures(medians), everything
+    ratios = {scenario: table.compare_figures(*plays) for scenario, plays in results.items()}
     everything["ratios"] = {
         scenario: {name: asdict(ratio) for name, ratio in found.items()} for scenario, found in ratios.items()
     }
-    return table.double(ratios), everything
+    return table.format_ratios(ratios), everything
 
 
 def measure(arguments: list[str]) -> None:
     """Build, play, tell."""
-    chosen = options(arguments)
+    chosen = parse_options(arguments)
     with tempfile.TemporaryDirectory(prefix="cost-base-") as folder:
-        sources = [built("now", ROOT)]
+        sources = [build_checkout("now", ROOT)]
         if chosen.against is not None:
-            sources.insert(0, built(chosen.against, unpacked(chosen.against, Path(folder))))
-        results = asyncio.run(ended_by_signal(chosen, sources))
-    text, everything = told(results, sources)
+            sources.insert(0, build_checkout(chosen.against, unpack_revision(chosen.against, Path(folder))))
+        results = asyncio.run(run_until_signal(chosen, sources))
+    text, everything = format_results(results, sources)
     print(text)
     if chosen.json is not None:
         chosen.json.write_text(json.dumps(everything, indent=1) + "\n", encoding="utf-8")
--- a/tools/cost/play.py
+++ b/tools/cost/play.py
@@ -25,14 +25,14 @@
     enqueue_words,
     settings_json,
 )
-from tools.cost.reading import LOOK_S, CostError, Figures, Probe, Strace, Taken, taken
+from tools.cost.reading import POLL_INTERVAL_S, CostError, Figures, Probe, Strace, Usage, read_usage
 
-READY_S = 20.0  # s for the first answer of a relay
-PATIENCE_S = 120.0  # s for one play
-ANSWER_S = 0.02  # s that a usual endpoint takes
+START_TIMEOUT_S = 20.0  # s for the first answer of a relay
+PLAY_TIMEOUT_S = 120.0  # s for one play
+ANSWER_DELAY_S = 0.02  # s that a usual endpoint takes
 SETTLE_S = 0.2  # s in which a relay notes what it was answered
-LEAST_CALLS = 0.1  # of one name in the unit, below which it has no figure of its own
-CONNECTIONS = 8  # of clients that hand in at the same time
+MIN_CALLS_PER_UNIT = 0.1  # of one name in the unit, below which it has no figure of its own
+CLIENT_CONNECTIONS = 8  # of clients that hand in at the same time
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     run: str  # the deploy file's command
 
 
-def checkout(name: str, root: Path) -> Checkout:
+def load_checkout(name: str, root: Path) -> Checkout:
     """A built folder; ``CostError`` where its deploy file tells no command to run."""
     try:
         run = tomllib.loads((root / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["run"]
@@ -53,19 +53,19 @@
     return Checkout(name, root, str(run))
 
 
-class Surroundings(World):
+class MeasuredWorld(World):
     """The scripted world around a relay that is started as the platform would start it."""
 
     def __init__(self, folder: Path, source: Checkout, more: dict[str, str]) -> None:
         super().__init__(folder)
-        self._source, self._more = source, more
+        self._source, self._probe_environment = source, more
         self.settings = settings_json(open_cap=1200)
         self.settings["domain"] |= {"calls_out": 64}
         self.log = folder / "log"
 
     def environment(self) -> dict[str, str]:
         """What the deployment tells, and what loads the probe."""
-        return super().environment() | self._more
+        return super().environment() | self._probe_environment
 
     async def spawn(self) -> asyncio.subprocess.Process:
         """Start ``run`` of the measured checkout; the log goes to a file, as a read of it would cost here."""
@@ -81,15 +81,15 @@
         self.processes.append(self.process)
         return self.process
 
-    async def ready(self) -> Client:
+    async def start_relay(self) -> Client:
         """Start the relay; a client once it has answered ``+PONG``, or ``CostError``."""
         process = await self.spawn()
-        until_s = time.monotonic() + READY_S
+        until_s = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until_s and process.returncode is None:
             try:
                 client = Client(*await asyncio.open_connection(self.address, self.port))
             except OSError:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             if await client.command(b"PING") == b"+PONG":
                 return client
@@ -104,12 +104,12 @@
     def __init__(self, source: Checkout, folder: Path, counted: bool) -> None:
         self.counted = counted
         self._probe = Probe(folder / "probe")
-        self.world = Surroundings(folder, source, self._probe.environment if counted else {})
+        self.world = MeasuredWorld(folder, source, self._probe.environment if counted else {})
         self._strace = Strace(folder / "strace")
-        self.ended: set[str] = set()  # messages that endpoints answered as delivered
+        self.delivered_refs: set[str] = set()  # messages that endpoints answered as delivered
         self.figures: Figures = {}
-        self._before: Taken | None = None
-        self._begun: tuple[float, float, Figures] = (0.0, 0.0, {})
+        self._usage_before: Usage | None = None
+        self._window_start: tuple[float, float, Figures] = (0.0, 0.0, {})
 
     @property
     def pid(self) -> int:
@@ -117,11 +117,11 @@
         assert self.world.process is not None
         return self.world.process.pid
 
-    def served(self, delay_s: float = ANSWER_S) -> Callable[[Request], None]:
+    def delivering_reply(self, delay_s: float = ANSWER_DELAY_S) -> Callable[[Request], None]:
         """An endpoint's reply that delivers everything in the call after a while."""
 
         def answer(request: Request) -> None:
-            self.ended.update(request.refs)
+            self.delivered_refs.update(request.refs)
             deliver_all(request)
 
         def reply(request: Request) -> None:
@@ -129,27 +129,27 @@
 
         return reply
 
-    async def begin(self) -> None:
+    async def begin_window(self) -> None:
         """What the relay uses from here on counts."""
         inside: Figures = {}
         if self.counted:
             inside = await self._probe.read(self.pid)
             await self._strace.start(self.pid)
-        self._begun = (time.monotonic(), time.process_time(), inside)
-        self._before = taken(self.pid)
+        self._window_start = (time.monotonic(), time.process_time(), inside)
+        self._usage_before = read_usage(self.pid)
 
-    async def end(self, messages: int = 0, kept: int = 0, kept_name: str = "") -> None:
+    async def end_window(self, messages: int = 0, kept: int = 0, kept_name: str = "") -> None:
         """The window is over: its figures, by message where some ended in it, else by second.
 
         ``kept`` things of a kind, held messages or connections, have come up in it and are still there.
         """
-        after, before = taken(self.pid), self._before
+        after, before = read_usage(self.pid), self._usage_before
         assert before is not None
-        begun_s, own_s, inside = self._begun
+        begun_s, own_s, inside = self._window_start
         span_s = time.monotonic() - begun_s
         per, unit = (messages, "message") if messages else (span_s, "second")
         if self.counted:
-            await self._count(inside, per, unit, kept, kept_name)
+            await self._record_counts(inside, per, unit, kept, kept_name)
             return
         self.figures |= {
             f"cpu_us_per_{unit}": (after.cpu_us - before.cpu_us) / per,
@@ -163,13 +163,13 @@
         if kept:
             self.figures[f"memory_bytes_per_{kept_name}"] = (after.memory_kb - before.memory_kb) * 1024 / kept
 
-    async def _count(self, inside: Figures, per: float, unit: str, kept: int, kept_name: str) -> None:
+    async def _record_counts(self, inside: Figures, per: float, unit: str, kept: int, kept_name: str) -> None:
         calls = await self._strace.stop()
         told = await self._probe.read(self.pid)
         grown = {name: value - inside[name] for name, value in told.items()}
         if calls:
             self.figures[f"system_calls_per_{unit}"] = sum(calls.values()) / per
-            usual = {name: count / per for name, count in calls.items() if count / per >= LEAST_CALLS}
+            usual = {name: count / per for name, count in calls.items() if count / per >= MIN_CALLS_PER_UNIT}
             self.figures |= {f"system_calls_per_{unit}: {name}": count for name, count in usual.items()}
         self.figures |= {
             f"python_calls_per_{unit}": told["python_calls"] / per,
@@ -186,24 +186,24 @@
         if self._probe.profile.exists():
             shutil.copyfile(self._probe.profile, path)
 
-    def started(self, cpu_us: float) -> None:
+    def record_start(self, cpu_us: float) -> None:
         """The figures of a start: all that the process has used until its first answer."""
-        now = taken(self.pid)
+        now = read_usage(self.pid)
         self.figures |= {
             "cpu_us_to_pong": cpu_us,
             "peak_memory_kb": now.peak_memory_kb,
             "descriptors": now.descriptors,
         }
 
-    async def clients(self, count: int = CONNECTIONS) -> list[Client]:
+    async def open_clients(self, count: int = CLIENT_CONNECTIONS) -> list[Client]:
         """Clients' connections."""
         return [await self.world.connect_client() for _ in range(count)]
 
-    async def hand_in(
+    async def send_messages(
         self, names: list[str], every_s: float, dests: Sequence[int] = (1,), body: bytes = b"hello"
     ) -> None:
         """Hand messages in at an even pace, in turn for each destination, one out on a connection."""
-        clients = await self.clients()
+        clients = await self.open_clients()
         loop = asyncio.get_running_loop()
         start_s = loop.time()
 
@@ -219,33 +219,35 @@
         for client in clients:
             client.writer.close()
 
-    async def until(self, enough: Callable[[], bool]) -> None:
+    async def wait_until(self, enough: Callable[[], bool]) -> None:
         """Wait until the stand-ins have seen enough."""
         while not enough():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def all_over(self, names: list[str]) -> None:
+    async def wait_until_ended(self, names: list[str]) -> None:
         """Wait until each of these is delivered or noticed, and the relay has had a moment to note it."""
         notices = self.world.discovery.notices
-        await self.until(lambda: self.ended.union(n["ref"] for n in notices).issuperset(names))
+        await self.wait_until(lambda: self.delivered_refs.union(n["ref"] for n in notices).issuperset(names))
         await asyncio.sleep(SETTLE_S)
 
 
 Scenario = Callable[[Play], Coroutine[Any, Any, None]]
 
 
-async def played(source: Checkout, scenario: Scenario, counted: bool, profile: Path | None = None) -> Figures:
+async def run_play(
+    source: Checkout, scenario: Scenario, counted: bool, profile: Path | None = None
+) -> Figures:
     """The figures of one play, and its profile as a file; no process and no folder stays behind."""
     with tempfile.TemporaryDirectory(prefix="cost-") as folder:
         play = Play(source, Path(folder), counted)
         await play.world.start()
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(PLAY_TIMEOUT_S):
                 await scenario(play)
             if profile is not None:
                 play.keep_profile(profile)
         except TimeoutError as error:
-            raise CostError(f"{source.name}: the play did not end within {PATIENCE_S:.0f} s") from error
+            raise CostError(f"{source.name}: the play did not end within {PLAY_TIMEOUT_S:.0f} s") from error
         finally:
             await play.world.stop()
     return play.figures
--- a/tools/cost/probe/sitecustomize.py
+++ b/tools/cost/probe/sitecustomize.py
@@ -20,7 +20,7 @@
 _profiles: list[cProfile.Profile] = []  # the one that runs, or none
 
 
-def _counted(fd: int, data: Any) -> int:
+def _counting_write(fd: int, data: Any) -> int:
     """The system's ``write``, counted where the journal's code asks for it."""
     written = _write(fd, data)
     if os.path.basename(sys._getframe(1).f_code.co_filename) == "journal.py":
@@ -29,7 +29,7 @@
     return written
 
 
-def _tell(_number: int, _frame: Any) -> None:
+def _report(_number: int, _frame: Any) -> None:
     calls = 0
     if _profiles:
         profile = _profiles.pop()
@@ -54,6 +54,6 @@
 
 
 if "COST_PROBE" in os.environ:
-    os.write = _counted
+    os.write = _counting_write
     tracemalloc.start()
-    signal.signal(signal.SIGUSR1, _tell)
+    signal.signal(signal.SIGUSR1, _report)
--- a/tools/cost/reading.py
+++ b/tools/cost/reading.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
-LOOK_S = 0.01  # s between looks for what the process or strace writes
+POLL_INTERVAL_S = 0.01  # s between looks for what the process or strace writes
 Figures = dict[str, float]
 
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Usage:
     """What a process had used up when it was read."""
 
     cpu_us: float  # on a processor, all threads
@@ -34,23 +34,23 @@
     descriptors: int
 
 
-def status_of(text: str) -> dict[str, int]:
+def parse_status(text: str) -> dict[str, int]:
     """The numbers in ``/proc/PID/status``."""
     pairs = (line.split(":", 1) for line in text.splitlines() if ":" in line)
     return {name: int(words[0]) for name, rest in pairs if (words := rest.split()) and words[0].isdecimal()}
 
 
-def taken(pid: int) -> Taken:
+def read_usage(pid: int) -> Usage:
     """Read a process; ``CostError`` where it is gone."""
     folder = Path(f"/proc/{pid}")
     try:
         ran = [int((task / "schedstat").read_text().split()[0]) for task in (folder / "task").iterdir()]
-        status = status_of((folder / "status").read_text())
+        status = parse_status((folder / "status").read_text())
         ticks = (folder / "stat").read_text().rpartition(")")[2].split()
         descriptors = len(list((folder / "fd").iterdir()))
     except (OSError, IndexError) as error:
         raise CostError(f"the relay cannot be read: {error}") from error
-    return Taken(
+    return Usage(
         cpu_us=sum(ran) / 1000,
         system_us=int(ticks[12]) * TICK_S * 1e6,
         sleeps=status["voluntary_ctxt_switches"],
@@ -60,7 +60,7 @@
     )
 
 
-def calls_of(summary: str) -> dict[str, int]:
+def parse_strace_summary(summary: str) -> dict[str, int]:
     """System calls by name in the table of ``strace -c``."""
     calls: dict[str, int] = {}
     for line in summary.splitlines():
@@ -88,7 +88,7 @@
         before = self._lines()
         os.kill(pid, signal.SIGUSR1)
         while len(lines := self._lines()) == len(before):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return {name: float(value) for name, value in json.loads(lines[-1]).items()}
 
     def _lines(self) -> list[str]:
@@ -124,4 +124,4 @@
         if self._process.returncode is None:
             self._process.send_signal(signal.SIGINT)
         await self._process.wait()
-        return calls_of(self._path.read_text()) if self._path.exists() else {}
+        return parse_strace_summary(self._path.read_text()) if self._path.exists() else {}
--- a/tools/cost/table.py
+++ b/tools/cost/table.py
@@ -21,12 +21,12 @@
     pairs: int
 
     @property
-    def clear(self) -> bool:
+    def is_clear(self) -> bool:
         """Whether every pair says the same: all below or all above one."""
         return self.most < 1 or self.least > 1
 
 
-def ratio_of(pairs: list[tuple[float, float]]) -> Ratio | None:
+def compute_ratio(pairs: list[tuple[float, float]]) -> Ratio | None:
     """The ratio over pairs of (base, now); None where the base was nothing and there is no ratio."""
     if not pairs or any(base <= 0 for base, _ in pairs):
         return None
@@ -35,19 +35,21 @@
     return Ratio(median(bases), median(nows), median(ratios), min(ratios), max(ratios), len(pairs))
 
 
-def compared(base: list[Figures], now: list[Figures]) -> dict[str, Ratio]:
+def compare_figures(base: list[Figures], now: list[Figures]) -> dict[str, Ratio]:
     """Each figure that both revisions tell in every pair."""
     names = [name for name in (now[0] if now else ()) if all(name in play for play in (*base, *now))]
-    found = {name: ratio_of([(b[name], n[name]) for b, n in zip(base, now, strict=True)]) for name in names}
+    found = {
+        name: compute_ratio([(b[name], n[name]) for b, n in zip(base, now, strict=True)]) for name in names
+    }
     return {name: ratio for name, ratio in found.items() if ratio is not None}
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Short, without a show of precision that a play does not have."""
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def columns(rows: Iterable[tuple[str, ...]]) -> str:
+def format_columns(rows: Iterable[tuple[str, ...]]) -> str:
     """Text in columns: names to the left, numbers to the right."""
     lines = list(rows)
     widths = [max(len(line[at]) for line in lines) for at in range(len(lines[0]))]
@@ -60,22 +62,28 @@
     return "\n".join(map(aligned, lines))
 
 
-def single(results: dict[str, Figures]) -> str:
+def format_figures(results: dict[str, Figures]) -> str:
     """A table of the figures of each scenario."""
     rows = [("scenario", "figure", "value")]
     rows += [
-        (scenario, name, number(value))
+        (scenario, name, format_number(value))
         for scenario, plays in results.items()
         for name, value in plays.items()
     ]
-    return columns(rows)
+    return format_columns(rows)
 
 
-def double(results: dict[str, dict[str, Ratio]]) -> str:
+def format_ratios(results: dict[str, dict[str, Ratio]]) -> str:
     """A table of ratios; ``=`` where the pairs do not agree on the sign of a change."""
     rows = [("scenario", "figure", "base", "now", "ratio", "least", "most", "")]
     for scenario, ratios in results.items():
         for name, r in ratios.items():
-            told = (number(r.base), number(r.now), f"{r.ratio:.2f}", f"{r.least:.2f}", f"{r.most:.2f}")
-            rows.append((scenario, name, *told, "" if r.clear else "="))
-    return columns(rows)
+            told = (
+                format_number(r.base),
+                format_number(r.now),
+                f"{r.ratio:.2f}",
+                f"{r.least:.2f}",
+                f"{r.most:.2f}",
+            )
+            rows.append((scenario, name, *told, "" if r.is_clear else "="))
+    return format_columns(rows)
--- a/tools/disks.py
+++ b/tools/disks.py
@@ -16,12 +16,12 @@
 from quorum.messages import Entry, Persist
 from quorum.store import Store
 
-ROUNDS, WRITES = 5, 60  # turns of each, and writes in a turn
-BATCHES = (1, 8, 64)  # entries in a write
+ROUNDS, WRITES_PER_ROUND = 5, 60  # turns of each, and writes in a turn
+BATCH_SIZES = (1, 8, 64)  # entries in a write
 ENTRY = Entry(3, 0, bytes(80))  # the size of a renewal
 
 
-def by_file(folder: Path) -> Callable[[int, int], None]:
+def file_writer(folder: Path) -> Callable[[int, int], None]:
     """The member's own store."""
     store = Store(folder)
 
@@ -31,7 +31,7 @@
     return write
 
 
-def by_sqlite(folder: Path) -> Callable[[int, int], None]:
+def sqlite_writer(folder: Path) -> Callable[[int, int], None]:
     """A table of entries."""
     folder.mkdir()
     database = sqlite3.connect(folder / "log.db", isolation_level=None)
@@ -49,10 +49,10 @@
     return write
 
 
-def measured(write: Callable[[int, int], None], first: int, count: int) -> tuple[int, list[float]]:
+def measure_writes(write: Callable[[int, int], None], first: int, count: int) -> tuple[int, list[float]]:
     """One turn: the next index, and each write's time in ms."""
     times = []
-    for _ in range(WRITES):
+    for _ in range(WRITES_PER_ROUND):
         begun_s = time.perf_counter()
         write(first, count)
         times.append((time.perf_counter() - begun_s) * 1000)
@@ -62,13 +62,16 @@
 
 def main() -> None:
     """A line for each batch size."""
-    for count in BATCHES:
+    for count in BATCH_SIZES:
         with tempfile.TemporaryDirectory(dir=".") as folder:
-            ways = {"file": by_file(Path(folder) / "file"), "sqlite3": by_sqlite(Path(folder) / "sqlite")}
+            ways = {
+                "file": file_writer(Path(folder) / "file"),
+                "sqlite3": sqlite_writer(Path(folder) / "sqlite"),
+            }
             at, times = dict.fromkeys(ways, 1), {name: list[float]() for name in ways}
             for _ in range(ROUNDS):
                 for name, write in ways.items():
-                    at[name], more = measured(write, at[name], count)
+                    at[name], more = measure_writes(write, at[name], count)
                     times[name] += more
         told = ", ".join(
             f"{name} {median(some):.2f} ms (p99 {quantiles(some, n=100)[98]:.2f})"
