--- a/fleetlab/sim/__init__.py
+++ b/fleetlab/sim/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded simulator: a clock, a network and disks on which the very cores of services run, step by step."""
+"""A seeded simulator of clocks, network and disks that runs the unmodified cores of services."""
