--- a/fleetlab/sim/linear.py
+++ b/fleetlab/sim/linear.py
@@ -1,8 +1,8 @@
-"""Whether a history of one record is linearizable: a search for one order of all operations that explains it.
+"""Linearizability check of one record's history: a search for a sequential order that explains all answers.
 
-Wing and Gong, "Testing and Verifying Concurrent Objects" (1993), with the states that were tried remembered,
-as Lowe, "Testing for linearizability" (2017), does. An operation without an answer may have taken effect at
-any time after its call, or never.
+Wing and Gong, "Testing and Verifying Concurrent Objects" (1993), with visited states memoized as in
+Lowe, "Testing for linearizability" (2017). An operation without an answer may have taken effect at any time
+after its call, or never.
 """
 
 from __future__ import annotations
@@ -11,17 +11,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-FOREVER = 1 << 62
-MAX_STATES = 500_000  # states; a history that needs more is too large to be judged
+FOREVER = 1 << 62  # ``returned_at`` of an operation without an answer
+MAX_STATES = 500_000  # visited states after which the search gives up
 
 
 class TooLargeError(RuntimeError):
-    """The search was given up."""
+    """The search visited more than ``MAX_STATES`` states and was given up without a result."""
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """A call and its answer; without one ``ended`` is ``FOREVER`` and ``answer`` None."""
+    """A request and its answer. Without an answer, ``returned_at`` is ``FOREVER`` and ``answer`` is None.
+
+    Times are integers of any one unit; only their order matters.
+    """
 
     called_at: int
     returned_at: int
@@ -33,31 +36,35 @@
 
 
 def is_linearizable(operations: list[Operation], state: Hashable, step: Step) -> bool:
-    """Whether some order explains every answer.
+    """Whether some order of the operations, consistent with their times, explains every answer.
 
-    ``step(state, asked, answer)`` tells whether the answer fits and what the state is then. ``TooLargeError``
-    where the search takes more than its bound.
+    ``step(state, request, answer)`` returns whether the answer is possible in the state, and the next state.
+    Raises ``TooLargeError`` if more than ``MAX_STATES`` states would have to be visited.
     """
-    some = sorted(operations, key=lambda item: item.called_at)
-    whole = (1 << len(some)) - 1
-    owed = sum(1 << at for at, item in enumerate(some) if item.answer is not None)
-    tried: set[tuple[int, Hashable]] = set()
+    by_call = sorted(operations, key=lambda item: item.called_at)
+    all_mask = (1 << len(by_call)) - 1
+    # An order is complete once it has all operations that were answered.
+    answered_mask = sum(1 << index for index, item in enumerate(by_call) if item.answer is not None)
+    visited: set[tuple[int, Hashable]] = set()
     stack: list[tuple[int, Any]] = [(0, state)]
     while stack:
-        done, now = stack.pop()
-        if done & owed == owed:
+        done_mask, current = stack.pop()
+        if done_mask & answered_mask == answered_mask:
             return True
-        if (done, now) in tried:
+        if (done_mask, current) in visited:
             continue
-        tried.add((done, now))
-        if len(tried) > MAX_STATES:
-            raise TooLargeError(f"over {MAX_STATES} states")
-        rest = [(at, item) for at, item in enumerate(some) if (whole ^ done) >> at & 1]
-        first_end = min((item.returned_at for _, item in rest), default=FOREVER)
-        for at, item in rest:
-            if item.called_at > first_end:
+        visited.add((done_mask, current))
+        if len(visited) > MAX_STATES:
+            raise TooLargeError(f"a history of {len(by_call)} operations needs over {MAX_STATES} states")
+        remaining = [
+            (index, item) for index, item in enumerate(by_call) if (all_mask ^ done_mask) >> index & 1
+        ]
+        # The next operation has to be called before any of the remaining ones has returned.
+        first_return = min((item.returned_at for _, item in remaining), default=FOREVER)
+        for index, item in remaining:
+            if item.called_at > first_return:
                 break
-            fits, then = step(now, item.request, item.answer)
-            if fits:
-                stack.append((done | 1 << at, then))
+            is_possible, following = step(current, item.request, item.answer)
+            if is_possible:
+                stack.append((done_mask | 1 << index, following))
     return False
