--- a/fleetlab/sim/node.py
+++ b/fleetlab/sim/node.py
@@ -1,4 +1,4 @@
-"""A simulated process around a core that takes time and messages and hands back what is to be done."""
+"""A simulated process that runs the steps of a service's core and executes the actions that they return."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 
 from fleetlab.sim.world import SimClock, World
 
-MAX_CLOCK_OFFSET_US = 10**9  # at the most, at which a monotonic clock begins
+MAX_CLOCK_OFFSET_US = 10**9  # largest initial reading of a monotonic clock, about 17 minutes
 
 
 class Core(Protocol):
-    """A core that runs by itself: when it wants to be woken, and what it does then."""
+    """What a simulated process needs of a core: when to wake it, and its step at that time."""
 
     @property
     def due_us(self) -> int:
-        """When it is to be woken, by its own clock."""
+        """The time at which it wants to be woken, on its own clock."""
 
     def wake(self, now_us: int) -> list[Any]:
-        """What it does at that time."""
+        """Run the steps that are due; returns the actions to execute."""
 
 
 CoreT = TypeVar("CoreT", bound=Core)
 
 
 class SimNode(ABC, Generic[CoreT]):
-    """One process after another under one name: started anew, woken when due, stalled, or ended."""
+    """Successive processes of one name: each can be started, woken when due, stalled, and ended."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.core: CoreT | None = None
-        self.generation = 0  # of starts, from 1
-        self.stalled_until_us = 0
-        self._scheduled_wake_us = -1  # by its clock, at which it will be woken; none is set below 0
+        self.generation = 0  # number of the current process; the first is 1
+        self.stalled_until_us = 0  # true time; until then steps are delayed
+        self._scheduled_wake_us = -1  # next wake-up on the process's clock; negative: none
 
     @abstractmethod
     def draw_clock_rate(self) -> float:
-        """How fast the clock of a new life goes; 1 is true time."""
+        """Return the clock rate of a new process; 1 is that of true time."""
 
     @abstractmethod
     def create_core(self) -> CoreT:
-        """The core of a new life, whose clock is set."""
+        """Return the core of a new process; ``self.clock`` is already set."""
 
     @abstractmethod
     def execute_actions(self, actions: list[Any]) -> None:
-        """Do what the core asked for after a step; it may end this life."""
+        """Execute the actions that a step returned; this may end the process."""
 
     def start(self) -> None:
-        """A new life, unless one is on. Its clock is another one: monotonic time may begin anew."""
+        """Start a process unless one runs. It has a new clock, as monotonic time may start from any value."""
         if self.core is not None:
             return
         self.generation += 1
@@ -60,7 +60,10 @@
         self._schedule_wake(self.core)
 
     def run_step(self, step: Callable[[CoreT, int], list[Any]]) -> None:
-        """One step of the core and what follows from it; while stalled, what comes waits in its sockets."""
+        """Run one step of the core and execute its actions.
+
+        While the process is stalled the step is delayed, as input would wait in the process's sockets.
+        """
         if self.core is None:
             return
         if self.stalled_until_us > self.world.now_us:
@@ -71,7 +74,7 @@
             self._schedule_wake(self.core)
 
     def _run_step_in(self, generation: int, step: Callable[[CoreT, int], list[Any]]) -> None:
-        """A step that only the given life takes."""
+        """Run a delayed step unless the process that it was meant for has ended."""
         if generation == self.generation:
             self.run_step(step)
 
