--- a/fleetlab/sim/members.py
+++ b/fleetlab/sim/members.py
@@ -1,9 +1,9 @@
-"""Schedules of a fleet that knows itself: members with drifting clocks, an adversary, and what they hold.
+"""Simulated fleets of the membership service: members with drifting clocks, faults, and what members believe.
 
-Members are the service's own core. What is judged: whether all that are up hold the same once faults are over
-and so much time has passed; who was declared failed though it was up, reachable and in time; how long it took
-until the first and the last held a lost one failed; that no word on an old life touches a later one; what was
-sent.
+Members run the service's own core. Measured are: whether all running members have the same view some time
+after the faults have ended; members that were declared failed although they were up, reachable and not slow;
+how long it took until the first and the last member considered a lost one failed; and the messages sent. News
+of an old generation of a member must not affect a later one.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from membership.core import SECOND_US, MembershipCore, Settings
 from membership.messages import Exchange, Message, Output, SendMessage, State, StateChanged, Update
 
-MAX_DRIFT = 0.005
+MAX_DRIFT = 0.005  # largest relative error of a member's clock rate
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a run is made of."""
+    """The configuration of a simulated fleet."""
 
     members: int = 40
     settings: Settings = field(default_factory=Settings)
@@ -30,21 +30,21 @@
         default_factory=lambda: NetworkConditions(loss_rate=0.01, min_delay_us=200, max_delay_us=3_000)
     )
     core: type[MembershipCore] = MembershipCore
-    name_format: str = "m{}"  # a member's name and address, by its number
-    zones: tuple[str, ...] = ("",)  # members are in each in turn
+    name_format: str = "m{}"  # format of a member's name, which is also its address, by its number
+    zones: tuple[str, ...] = ("",)  # assigned to members in rotation
     first_generation: int = 1
 
 
 @dataclass(slots=True)
 class LostMember:
-    """A member that went, and when each other held it failed."""
+    """A member that was killed, and when others first considered it failed (true times in µs)."""
 
     lost_at_us: int
-    detected_at_us: dict[str, int] = field(default_factory=dict)
+    detected_at_us: dict[str, int] = field(default_factory=dict)  # by the other member's name
 
 
 class MemberNode(SimNode[MembershipCore]):
-    """One member on its machine."""
+    """The simulated process of one member."""
 
     def __init__(self, sim: MembershipSim, name: str, seeds: tuple[str, ...]) -> None:
         super().__init__(sim.world, name)
@@ -53,23 +53,23 @@
         self.generation = sim.plan.first_generation - 1
 
     def draw_clock_rate(self) -> float:
-        """Within the bound of drift."""
+        """Draw a rate within ``MAX_DRIFT``."""
         return 1 + self.world.random.uniform(-MAX_DRIFT, MAX_DRIFT)
 
     def create_core(self) -> MembershipCore:
-        """A member that knows its seeds alone."""
-        me = Update(self.name, self.name, self.zone, self.generation, 0, State.ALIVE)
+        """Return a member that knows only itself and its seeds."""
+        own_update = Update(self.name, self.name, self.zone, self.generation, 0, State.ALIVE)
         return self.sim.plan.core(
-            me, self._seeds, settings=self.sim.plan.settings, random=Random(self.world.random.random()),
+            own_update, self._seeds, settings=self.sim.plan.settings, random=Random(self.world.random.random()),
             now_us=self.clock.now_us(),
         )  # fmt: skip
 
     def kill(self) -> None:
-        """It goes without a word."""
+        """End the process without announcing it to other members."""
         self.core = None
 
     def execute_actions(self, actions: list[Output]) -> None:
-        """Send what it says, and note what it holds."""
+        """Send messages, and record changes in the state of other members."""
         for item in actions:
             match item:
                 case SendMessage():
@@ -79,7 +79,7 @@
 
 
 class MembershipSim:
-    """One run."""
+    """One simulated run of a fleet."""
 
     def __init__(self, seed: int, plan: Plan) -> None:
         self.plan, self.world = plan, World(seed)
@@ -90,13 +90,16 @@
         for number, node in enumerate(self.nodes.values()):
             node.zone = plan.zones[number % len(plan.zones)]
         self.lost_members: dict[str, LostMember] = {}
-        self.false_alarms: list[tuple[int, str, str]] = []  # when, by whom, on whom
-        self.excused_members: set[str] = set()  # members that are slow, cut off, or gone
-        self.sent: Counter[str] = Counter()
-        self.sent_updates: dict[str, int] = defaultdict(int)
+        # True time in µs, the member that declared a failure, and the healthy member that it declared failed.
+        self.false_alarms: list[tuple[int, str, str]] = []
+        self.excused_members: set[str] = (
+            set()
+        )  # slow or cut off at some time; no false alarms are counted for them
+        self.sent: Counter[str] = Counter()  # messages by type
+        self.sent_updates: dict[str, int] = defaultdict(int)  # updates in messages, by the message's type
 
     def send(self, sender: str, to: str, message: Message) -> None:
-        """A message on its way; an exchange by a connection, which loses nothing unless it is cut."""
+        """Send a message; exchanges go over a connection, which loses nothing unless it is cut."""
         self.sent[type(message).__name__] += 1
         self.sent_updates[type(message).__name__] += len(message.updates)
         if isinstance(message, Exchange):
@@ -111,7 +114,7 @@
             self.nodes[to].run_step(lambda core, now_us: core.receive(now_us, message))
 
     def record_state_change(self, name: str, event: StateChanged) -> None:
-        """A member holds another to be otherwise."""
+        """Record that a member changed the state in which it holds another one."""
         other = event.update.name
         if event.update.state is not State.FAILED:
             return
@@ -119,36 +122,36 @@
         if other in self.lost_members and node.core is None:
             self.lost_members[other].detected_at_us.setdefault(name, self.world.now_us)
         elif node.core is not None and node.generation == event.update.generation:
-            spared = {name, other} & self.excused_members
-            if not spared:
+            excused = {name, other} & self.excused_members
+            if not excused:
                 self.false_alarms.append((self.world.now_us, name, other))
 
-    # What may happen
+    # Time and faults
 
     def start_all(self, within_us: int = 0) -> None:
-        """All of them, together or within a time."""
+        """Start all members, each at a random time within ``within_us``."""
         for node in self.nodes.values():
             self.world.call_later(self.world.random.randint(0, within_us), node.start)
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Advance the simulation by some seconds."""
         self.world.run_until(self.world.now_us + int(seconds * SECOND_US))
 
     def kill(self, *names: str) -> None:
-        """Some go without a word."""
+        """Kill members; others have to detect it."""
         for name in names:
             self.lost_members[name] = LostMember(self.world.now_us)
             self.nodes[name].kill()
 
     def restart(self, *names: str) -> None:
-        """They come back, as new lives under their names."""
+        """Start members again, as new generations under their old names."""
         for name in names:
             self.nodes[name].start()
 
     def run_intermittently(
         self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND_US
     ) -> None:
-        """A member that runs so small a part of the time."""
+        """Let a member run only for a share of each tick for some seconds, and excuse its alarms."""
         self.excused_members.add(name)
         until_us = self.world.now_us + int(seconds * SECOND_US)
 
@@ -159,53 +162,58 @@
 
         stall()
 
-    def cut_links(self, ways: set[tuple[str, str]]) -> None:
-        """Nothing passes there; who is at an end of it is excused."""
-        self.network.cut_links |= ways
-        self.excused_members |= {name for way in ways for name in way}
+    def cut_links(self, links: set[tuple[str, str]]) -> None:
+        """Cut links, each one direction from sender to receiver; members at both ends are excused."""
+        self.network.cut_links |= links
+        self.excused_members |= {name for link in links for name in link}
 
     def partition(self, part: float = 0.5) -> set[tuple[str, str]]:
-        """Two parts that do not reach each other; the ways between them."""
-        at = int(len(self.names) * part)
-        one, other = self.names[:at], self.names[at:]
-        ways = {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
-        self.cut_links(ways)
-        return ways
+        """Cut the fleet into two parts, the first with that share of it; returns the links that were cut."""
+        boundary = int(len(self.names) * part)
+        one, other = self.names[:boundary], self.names[boundary:]
+        links = {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
+        self.cut_links(links)
+        return links
 
     def heal(self) -> None:
-        """Everything passes again."""
+        """Restore all links."""
         self.network.cut_links.clear()
 
-    # What is held
+    # Views of members
 
     def views(self) -> dict[str, frozenset[tuple[str, int]]]:
-        """Of each member that is up: the names and generations that it holds to live."""
+        """Return, for each running member, the names and generations that it considers live."""
         return {name: live_view(node.core) for name, node in self.nodes.items() if node.core is not None}
 
     def is_agreed(self) -> bool:
-        """Whether all that are up hold exactly those to live, each by its life of now."""
-        up = frozenset((name, node.generation) for name, node in self.nodes.items() if node.core is not None)
-        return all(live_view(node.core) == up for node in self.nodes.values() if node.core is not None)
-
-    def run_until_agreed(self, most_s: float, step_s: float = 0.5) -> float | None:
-        """Seconds until all agree; None where they do not in time."""
-        begun_us = self.world.now_us
-        while self.world.now_us - begun_us <= most_s * SECOND_US:
+        """Whether each running member considers exactly these live, in their current generations."""
+        running = frozenset(
+            (name, node.generation) for name, node in self.nodes.items() if node.core is not None
+        )
+        return all(live_view(node.core) == running for node in self.nodes.values() if node.core is not None)
+
+    def run_until_agreed(self, max_s: float, step_s: float = 0.5) -> float | None:
+        """Run until all views agree; returns the seconds that it took, or None if longer than ``max_s``."""
+        start_us = self.world.now_us
+        while self.world.now_us - start_us <= max_s * SECOND_US:
             if self.is_agreed():
-                return (self.world.now_us - begun_us) / SECOND_US
+                return (self.world.now_us - start_us) / SECOND_US
             self.run(step_s)
         return None
 
     def detection_times_s(self, name: str) -> tuple[float, float] | None:
-        """From a loss until the first and the last of those up held it failed; None where one does not."""
+        """Return the seconds from a loss until the first and the last running member detected it.
+
+        None if a running member has not detected it.
+        """
         lost = self.lost_members[name]
-        up = [other for other, node in self.nodes.items() if node.core is not None]
-        if any(other not in lost.detected_at_us for other in up):
+        running = [other for other, node in self.nodes.items() if node.core is not None]
+        if any(other not in lost.detected_at_us for other in running):
             return None
-        times = [lost.detected_at_us[other] - lost.lost_at_us for other in up]
+        times = [lost.detected_at_us[other] - lost.lost_at_us for other in running]
         return min(times) / SECOND_US, max(times) / SECOND_US
 
 
 def live_view(core: MembershipCore) -> frozenset[tuple[str, int]]:
-    """The names and generations that a member holds to live."""
+    """Return the names and generations that a member considers live."""
     return frozenset((item.name, item.generation) for item in core.live_updates())
