--- a/fleetlab/sim/settled.py
+++ b/fleetlab/sim/settled.py
@@ -1,7 +1,7 @@
-"""A simulated fleet that begins settled, and whose every message passes through the real wire format.
+"""A simulated fleet that starts with agreed views and encodes every message in the real wire format.
 
-Not modelled: the process around the core. It sends at most 8 whole exchanges at once and takes at most 64, so
-that seeds which many ask together leave some out, and those ask again.
+Not modelled is the process around the core: it sends at most 8 exchanges at once and accepts at most 64, so
+seeds that are asked by many members at once reject some, and those ask again.
 """
 
 from __future__ import annotations
@@ -15,19 +15,21 @@
 from membership.messages import Exchange, Message, Output, StateChanged, Update
 
 ZONES = ("east-1", "east-2", "east-3", "west-1", "west-2")
-NAME_FORMAT = "relay-{:04}:7946"  # as long as an address
-FIRST_GENERATION = 1_760_000_000_000  # a real one is a wall clock's milliseconds
+NAME_FORMAT = "relay-{:04}:7946"  # as long as a real address, for realistic message sizes
+FIRST_GENERATION = (
+    1_760_000_000_000  # real generations are wall-clock times in ms, and are encoded in as many bytes
+)
 FLEET_HASH = wire.hash_fleet_name("fleet")
-LOSS_RATE = 0.01  # share of datagrams
+LOSS_RATE = 0.01  # share of datagrams that are lost
 
 
 class SettledMember(MembershipCore):
-    """A member that can begin with a view that was told long ago, and counts the suspicions it looks at."""
+    """A member that can start with an agreed view, and counts its checks of suspicions."""
 
     suspicion_checks = 0
 
     def settle(self, now_us: int, view: Exchange) -> None:
-        """Hold a whole view, and pass none of it on."""
+        """Take over a whole view without any of it queued as news for others."""
         self.receive(now_us, view)
         self._pending_updates.clear()
         self._update_queue.clear()
@@ -35,22 +37,21 @@
 
     def _suspicion_deadline_us(self, held: MemberRecord) -> int:
         self.suspicion_checks += 1
-        return MembershipCore._suspicion_deadline_us(
-            self, held
-        )  # called for each suspect at each step: without super's own cost
+        # Called by class name, without the cost of super(): this runs for each suspect in each step.
+        return MembershipCore._suspicion_deadline_us(self, held)
 
 
 class SettledSim(MembershipSim):
-    """One run; ``bytes`` counts what is sent, by the name of the message."""
+    """A simulated run that counts the bytes sent, by type of message and by sender."""
 
     def __init__(self, seed: int, members: int, core: type[SettledMember] = SettledMember) -> None:
-        """All members are up and hold each other to be alive."""
-        weather = NetworkConditions(loss_rate=LOSS_RATE, min_delay_us=200, max_delay_us=3_000)
+        """Create a fleet in which all members run and consider each other alive."""
+        conditions = NetworkConditions(loss_rate=LOSS_RATE, min_delay_us=200, max_delay_us=3_000)
         super().__init__(
             seed,
             Plan(
                 members,
-                conditions=weather,
+                conditions=conditions,
                 core=core,
                 name_format=NAME_FORMAT,
                 zones=ZONES,
@@ -58,7 +59,7 @@
             ),
         )
         self.bytes_by_type: Counter[str] = Counter()
-        self.bytes_by_sender: Counter[str] = Counter()  # by sender
+        self.bytes_by_sender: Counter[str] = Counter()
         self.state_changes = 0
         self._settle_all()
 
@@ -71,25 +72,27 @@
             node.run_step(lambda core, now_us: self._settle_member(core, now_us, data))
 
     def _settle_member(self, core: MembershipCore, now_us: int, data: bytes) -> list[Output]:
-        view = wire.decode(FLEET_HASH, data)  # each member has objects of its own, as in a process of its own
+        view = wire.decode(
+            FLEET_HASH, data
+        )  # decoded for each, as members in separate processes share no objects
         assert isinstance(core, SettledMember)
         assert isinstance(view, Exchange)
         core.settle(now_us, view)
         return []
 
     def live_cores(self) -> list[SettledMember]:
-        """Of all members that are up."""
+        """Return the cores of all running members."""
         return [node.core for node in self.nodes.values() if isinstance(node.core, SettledMember)]
 
     def send(self, sender: str, to: str, message: Message) -> None:
-        """Count the bytes; what does not fit a datagram is left out, as it is by a process."""
+        """Count the bytes, and send what the wire format keeps: a datagram drops updates beyond its size."""
         data = wire.encode(FLEET_HASH, message)
-        head = wire.LENGTH_PREFIX.size if isinstance(message, Exchange) else 0
-        self.bytes_by_type[type(message).__name__] += head + len(data)
-        self.bytes_by_sender[sender] += head + len(data)
+        prefix_bytes = wire.LENGTH_PREFIX.size if isinstance(message, Exchange) else 0
+        self.bytes_by_type[type(message).__name__] += prefix_bytes + len(data)
+        self.bytes_by_sender[sender] += prefix_bytes + len(data)
         super().send(sender, to, wire.decode(FLEET_HASH, data))
 
     def record_state_change(self, name: str, event: StateChanged) -> None:
-        """Count what members have to tell their processes."""
+        """Count the state changes that members report to their processes."""
         self.state_changes += 1
         super().record_state_change(name, event)
