--- a/fleetlab/sim/linear.py
+++ b/fleetlab/sim/linear.py
@@ -55,7 +55,7 @@
             continue
         visited.add((done_mask, current))
         if len(visited) > MAX_STATES:
-            raise TooLargeError(f"a history of {len(by_call)} operations needs over {MAX_STATES} states")
+            raise TooLargeError(f"judging the history needs over {MAX_STATES} states")
         remaining = [
             (index, item) for index, item in enumerate(by_call) if (all_mask ^ done_mask) >> index & 1
         ]
--- a/fleetlab/sim/members.py
+++ b/fleetlab/sim/members.py
@@ -58,9 +58,9 @@
 
     def create_core(self) -> MembershipCore:
         """Return a member that knows only itself and its seeds."""
-        own_update = Update(self.name, self.name, self.zone, self.generation, 0, State.ALIVE)
+        own = Update(self.name, self.name, self.zone, self.generation, 0, State.ALIVE)
         return self.sim.plan.core(
-            own_update, self._seeds, settings=self.sim.plan.settings, random=Random(self.world.random.random()),
+            own, self._seeds, settings=self.sim.plan.settings, random=Random(self.world.random.random()),
             now_us=self.clock.now_us(),
         )  # fmt: skip
 
--- a/fleetlab/sim/world.py
+++ b/fleetlab/sim/world.py
@@ -21,7 +21,7 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.now_us = 0
-        # Heap of time in µs, sequence number and event; events of the same time run in the order of scheduling.
+        # Heap of time in µs, sequence number, event; events of the same time run in the order of scheduling.
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._sequence_numbers = count()
         self.events_run = 0
