--- a/fleetlab/sim/quorum/campaigns.py
+++ b/fleetlab/sim/quorum/campaigns.py
@@ -1,4 +1,4 @@
-"""Campaigns: many schedules in a row or on several processes, and one whose history is kept."""
+"""Runs of many schedules in one or several processes, and of one schedule with its history in a file."""
 
 from __future__ import annotations
 
@@ -12,52 +12,55 @@
 from fleetlab.sim.quorum.simulation import QuorumSim
 from standins import records
 
-SCHEDULES_PER_TASK = 25  # schedules that a process plays at a time
+SCHEDULES_PER_TASK = 25  # that a worker process runs for one task
 
 
 @dataclass(slots=True)
 class CampaignResult:
-    """Schedules in a row."""
+    """The results of several schedules."""
 
-    schedules: int = 0
+    schedules: int = 0  # number that were run
     counts: Counter[str] = field(default_factory=Counter)
     failures: list[tuple[int, str, str]] = field(default_factory=list)  # seed, rule, text
 
 
 def run_campaign(seeds: range, jobs: int) -> CampaignResult:
-    """Play schedules on several processes."""
-    whole = CampaignResult()
-    parts = [seeds[at : at + SCHEDULES_PER_TASK] for at in range(0, len(seeds), SCHEDULES_PER_TASK)]
+    """Run the schedules of some seeds in several processes."""
+    total = CampaignResult()
+    chunks = [seeds[at : at + SCHEDULES_PER_TASK] for at in range(0, len(seeds), SCHEDULES_PER_TASK)]
     with ProcessPoolExecutor(jobs) as pool:
-        for part in pool.map(run_schedules, parts):
-            whole.schedules += part.schedules
-            whole.failures += part.failures
-            for name, count in part.counts.items():
-                whole.counts[name] += count
-    return whole
+        for result in pool.map(run_schedules, chunks):
+            total.schedules += result.schedules
+            total.failures += result.failures
+            for name, count in result.counts.items():
+                total.counts[name] += count
+    return total
 
 
 def run_schedules(seeds: range, parts: Parts | None = None, stop: bool = False) -> CampaignResult:
-    """Play schedules; with ``stop`` up to the first that breaks a rule."""
-    campaign = CampaignResult()
+    """Run the schedules of some seeds; with ``stop`` only up to the first that breaks a rule."""
+    result = CampaignResult()
     for seed in seeds:
-        campaign.schedules += 1
+        result.schedules += 1
         try:
             for name, count in QuorumSim(seed, draw_plan(seed), parts).run().items():
-                campaign.counts[name] += count
+                result.counts[name] += count
         except BrokenError as error:
-            campaign.failures.append((seed, error.rule, str(error)))
+            result.failures.append((seed, error.rule, str(error)))
             if stop:
                 break
-    return campaign
+    return result
 
 
 def record_schedule(seed: int, path: Path, parts: Parts | None = None) -> str:
-    """Play one schedule and keep its history as the lab writes them; what broke, or nothing."""
-    sim, broken = QuorumSim(seed, draw_plan(seed), parts), ""
+    """Run one schedule and write its history in the proving ground's format.
+
+    Returns the text of the rule that broke, or an empty text.
+    """
+    sim, failure = QuorumSim(seed, draw_plan(seed), parts), ""
     try:
         sim.run()
     except BrokenError as error:
-        broken = str(error)
+        failure = str(error)
     path.write_bytes(b"".join(records.encode_line(record) for record in sim.history.records))
-    return broken
+    return failure
