--- a/fleetlab/sim/quorum/client.py
+++ b/fleetlab/sim/quorum/client.py
@@ -1,4 +1,4 @@
-"""A client of the simulated quorum: it asks members until there is a certain answer."""
+"""A client of the simulated quorum, which repeats each request until it has a definite answer."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     from fleetlab.sim.quorum.simulation import QuorumSim
 
-ANSWER_TIMEOUT_US = 400_000  # of a client for one answer
+ANSWER_TIMEOUT_US = 400_000  # after which a request is sent again, to a member drawn at random
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request on its way, with all its repeats."""
+    """A request with all its attempts, until it is answered."""
 
     request: Request
-    called_us: int
+    called_us: int  # true time
     done: Callable[[Response, int], None]
     timing: RequestTiming
     attempts: int = 0
@@ -30,7 +30,7 @@
 
 
 class Client:
-    """Sends requests to the member that it holds to lead, and repeats them until an answer is certain."""
+    """Sends requests to the supposed leader, and repeats them until an answer is definite."""
 
     def __init__(self, sim: QuorumSim, name: str) -> None:
         self.sim, self.name = sim, name
@@ -40,7 +40,10 @@
         self.leader = ""
 
     def ask(self, request: Request, done: Callable[[Response, int], None]) -> None:
-        """Ask until there is an answer that is certain; ``done`` also gets from when it counts."""
+        """Send a request until its answer is definite.
+
+        ``done`` gets the answer and the time on this client's clock from which a granted lease counts.
+        """
         self._send_attempt(
             PendingRequest(request, self.sim.world.now_us, done, self.sim.parts.request_timing())
         )
@@ -52,9 +55,9 @@
         number = pending.attempts
         pending.timing.record_sent(self.clock.now_us())
         names = self.sim.names
-        known = self.leader if self.leader in names else self.sim.world.random.choice(names)
+        leader = self.leader if self.leader in names else self.sim.world.random.choice(names)
         self.sim.send_request(
-            self.name, known, pending.request, lambda answer: self._receive_answer(pending, number, answer)
+            self.name, leader, pending.request, lambda answer: self._receive_answer(pending, number, answer)
         )
         self.sim.world.call_later(ANSWER_TIMEOUT_US, lambda: self._retry_after_timeout(pending, number))
 
@@ -66,8 +69,9 @@
     def _receive_answer(self, pending: PendingRequest, number: int, answer: Response) -> None:
         if pending.is_answered or pending.attempts != number:
             return
-        uncertain = isinstance(answer, NoRoom) and pending.attempts > 1  # an earlier try may be done
-        if isinstance(answer, Elsewhere | Unknown) or uncertain:
+        # An earlier attempt may have taken effect although this one was refused.
+        is_uncertain = isinstance(answer, NoRoom) and pending.attempts > 1
+        if isinstance(answer, Elsewhere | Unknown) or is_uncertain:
             self.leader = answer.leader if isinstance(answer, Elsewhere) else ""
             self.sim.world.call_later(
                 self.sim.world.random.randint(5_000, 60_000), lambda: self._send_attempt(pending)
