--- a/fleetlab/sim/quorum/history.py
+++ b/fleetlab/sim/quorum/history.py
@@ -1,4 +1,4 @@
-"""The history of a schedule in the form in which the lab writes its runs."""
+"""The history of a schedule in the format of the proving ground's runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class History:
-    """Faults and acts on the resource, in true time."""
+    """Records of faults and of actions on the fenced resource, in true time."""
 
     def __init__(self, world: World, seed: int) -> None:
         head = msgspec.to_builtins(Scenario(about="a schedule of the quorum"))
@@ -20,13 +20,13 @@
         self._fault_count = 0
 
     def record_action(self, lease: str, holder: str, token: int, admitted: bool) -> None:
-        """An act came to the fenced resource."""
+        """Record that an action reached the fenced resource, and whether it was admitted."""
         self.records.append(records.Acted(self._now_s, "fenced", lease, holder, token, admitted))
 
     def record_fault(
         self, kind: FaultKind, on: list[str], for_us: int, note: str, to: list[str] | None = None
     ) -> None:
-        """A fault begins, and ends after so long; both stand in the history."""
+        """Record that a fault begins now, and its end after ``for_us``."""
         number = self._fault_count
         self._fault_count += 1
 
@@ -38,5 +38,5 @@
 
     @property
     def _now_s(self) -> float:
-        """True time, as histories have it."""
+        """The true time in seconds, the unit of histories."""
         return self._world.now_us / SECOND_US
