--- a/fleetlab/sim/quorum/holder.py
+++ b/fleetlab/sim/quorum/holder.py
@@ -1,4 +1,4 @@
-"""A client with a session: it holds leases, acts on the resource, and reads and writes records."""
+"""A simulated client with a session: it holds leases, acts on the resource, and reads and writes records."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SimHolder(Client):
-    """A client with a session, which does one thing after another at random."""
+    """A client with a session that performs random activities one after another."""
 
     def __init__(self, sim: QuorumSim, name: str) -> None:
         super().__init__(sim, name)
@@ -30,7 +30,7 @@
         self.paused_until_us = 0
 
     def start(self) -> None:
-        """Open a session, then go on."""
+        """Open a session, then run the first activity."""
 
         def opened(answer: Response, _: int) -> None:
             if isinstance(answer, Done):
@@ -41,10 +41,10 @@
 
         self.ask(Open(self.name), opened)
 
-    def run_later(self, work: Callable[[], None], most_us: int = 200_000) -> None:
-        """Do something after a random pause, and not while this holder stands still."""
+    def run_later(self, work: Callable[[], None], max_us: int = 200_000) -> None:
+        """Run work after a random delay of at most ``max_us``, or when this holder is no longer paused."""
         self.sim.world.call_later(
-            self.sim.world.random.randint(1_000, most_us), lambda: self._run_unpaused(work)
+            self.sim.world.random.randint(1_000, max_us), lambda: self._run_unpaused(work)
         )
 
     def _run_unpaused(self, work: Callable[[], None]) -> None:
@@ -54,7 +54,7 @@
             work()
 
     def run_next_activity(self) -> None:
-        """One more thing to do."""
+        """Use the lease that is held, or else acquire one, write or read a record."""
         random = self.sim.world.random
         if self.held_lease is not None:
             self._use_lease(self.held_lease)
@@ -75,84 +75,84 @@
         acquire = Acquire(
             self.session, seq, self.lease, LEASE_TTL_MS, LEASE_DELAY_MS if self.lease == "share" else 0
         )
-        waits = self.sim.world.random.random() < 0.5
-        request: Request = Wait(acquire, 300) if waits else acquire
+        is_waiting = self.sim.world.random.random() < 0.5
+        request: Request = Wait(acquire, 300) if is_waiting else acquire
 
         def answered(answer: Response, sent_us: int) -> None:
             if isinstance(answer, Done):
                 self.sim.rules.record_grant(answer.token, self.session, seq)
-                holding = self.sim.parts.held_lease(LEASE_TTL_MS * 1000, TimingBounds(MAX_DRIFT))
-                if holding.granted(sent_us, self.clock.now_us(), answer.token):
-                    self.held_lease = holding
+                held_lease = self.sim.parts.held_lease(LEASE_TTL_MS * 1000, TimingBounds(MAX_DRIFT))
+                if held_lease.granted(sent_us, self.clock.now_us(), answer.token):
+                    self.held_lease = held_lease
                     self.sim.check_held(self)
             self.run_later(self.run_next_activity)
 
-        # While it stands still its answer waits unread: it must not count from when it reads it.
+        # While the holder is paused the answer is not read; the lease must not count from when it is read.
         self.ask(request, lambda answer, sent_us: self._run_unpaused(lambda: answered(answer, sent_us)))
 
-    def _use_lease(self, holding: HeldLease) -> None:
-        """Act, renew, give back, or find that it is over."""
+    def _use_lease(self, held_lease: HeldLease) -> None:
+        """Act under the lease, renew or release it, or drop it if it has ended."""
         random, now_us = self.sim.world.random, self.clock.now_us()
-        if not holding.may_act(now_us):
+        if not held_lease.may_act(now_us):
             self.held_lease = None
             self.run_later(self.run_next_activity)
-        elif now_us >= holding.renew_us:
-            self._renew(holding)
+        elif now_us >= held_lease.renew_us:
+            self._renew(held_lease)
         elif random.random() < 0.1:
-            self._release(holding)
+            self._release(held_lease)
         else:
-            # The check is made; the act comes to the resource later, however long that takes.
-            token, lease = holding.token, self.lease
+            # The lease was checked now, but the action may reach the resource much later.
+            token, lease = held_lease.token, self.lease
             delay_us = random.randint(500, 5_000) + (random.random() < 0.02) * 2 * SECOND_US
             self.sim.world.call_later(delay_us, lambda: self.sim.act_on_resource(self.name, lease, token))
             self.run_later(self.run_next_activity, 120_000)
 
-    def _renew(self, holding: HeldLease) -> None:
+    def _renew(self, held_lease: HeldLease) -> None:
         def answered(answer: Response, sent_us: int) -> None:
             now_us = self.clock.now_us()
-            before = holding.may_act(now_us)
+            could_act = held_lease.may_act(now_us)
             if isinstance(answer, Done):
-                holding.renewed(sent_us, now_us, answer.token)
-                if not before and holding.may_act(now_us):
+                held_lease.renewed(sent_us, now_us, answer.token)
+                if not could_act and held_lease.may_act(now_us):
                     raise BrokenError("late", f"{self.name} goes on with {self.lease} after it had to stop")
                 self.sim.check_held(self)
             else:
-                holding.lost()
+                held_lease.lost()
             self.run_later(self.run_next_activity, 50_000)
 
-        renew = Renew(self.session, self._next_seq(), self.lease, holding.token)
+        renew = Renew(self.session, self._next_seq(), self.lease, held_lease.token)
         self.ask(renew, lambda answer, sent_us: self._run_unpaused(lambda: answered(answer, sent_us)))
 
-    def _release(self, holding: HeldLease) -> None:
-        holding.lost()
+    def _release(self, held_lease: HeldLease) -> None:
+        held_lease.lost()
         self.held_lease = None
-        release = Release(self.session, self._next_seq(), self.lease, holding.token)
+        release = Release(self.session, self._next_seq(), self.lease, held_lease.token)
         self.ask(release, lambda *_: self.run_later(self.run_next_activity))
 
     def _write(self, key: str) -> None:
-        """Compare and set, from a version that was read a moment ago."""
+        """Read a record, then write it on the condition that its version has not changed."""
 
-        def read(told: Response, _: int) -> None:
-            if not isinstance(told, Told):
+        def write(current: Response, _: int) -> None:
+            if not isinstance(current, Told):
                 self.run_later(self.run_next_activity)
                 return
             value = f"{self.name}-{self.seq + 1}".encode()
-            put = Put(self.session, self._next_seq(), key, told.version, value)
+            put = Put(self.session, self._next_seq(), key, current.version, value)
             self._ask_recorded(key, put, lambda *_: self.run_later(self.run_next_activity))
 
-        self._ask_recorded(key, Read(key=key), read)
+        self._ask_recorded(key, Read(key=key), write)
 
     def _read(self, key: str) -> None:
         self._ask_recorded(key, Read(key=key), lambda *_: self.run_later(self.run_next_activity))
 
     def _ask_recorded(self, key: str, request: Request, done: Callable[[Response, int], None]) -> None:
-        """Ask, and keep the operation for the checker."""
+        """Send a request, and record the operation for the linearizability check."""
         operations = self.sim.rules.operations[key]
-        at = len(operations)
+        index = len(operations)
         operations.append(Operation(self.sim.world.now_us, FOREVER, request, None))
 
         def answered(answer: Response, sent_us: int) -> None:
-            operations[at] = replace(operations[at], returned_at=self.sim.world.now_us, answer=answer)
+            operations[index] = replace(operations[index], returned_at=self.sim.world.now_us, answer=answer)
             done(answer, sent_us)
 
         self.ask(request, answered)
