--- a/fleetlab/sim/quorum/judge.py
+++ b/fleetlab/sim/quorum/judge.py
@@ -1,4 +1,4 @@
-"""The rules that hold for all members and holders together, checked at each step and at the end."""
+"""Rules over all members and holders of a schedule, checked after each step and at the end."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from fleetlab.sim.quorum.holder import SimHolder
     from fleetlab.sim.quorum.node import QuorumNode
 
-LOG_CHECK_INTERVAL = 40  # steps between looks at whole logs
-STATE_CHECK_INTERVAL = 8  # indices between comparisons of whole states
-INITIAL_VALUE = b"0"  # of every record
+LOG_CHECK_INTERVAL = 40  # steps between comparisons of all logs
+STATE_CHECK_INTERVAL = 8  # log indices between comparisons of states
+INITIAL_VALUE = b"0"  # of each record
 
 
 class BrokenError(AssertionError):
-    """A rule does not hold."""
+    """A rule is broken; its name is ``rule``."""
 
     def __init__(self, rule: str, text: str) -> None:
         super().__init__(f"{rule}: {text}")
@@ -32,56 +32,57 @@
 
 
 class RuleChecker:
-    """What was seen of all members and holders; raises ``BrokenError`` at the first rule that breaks."""
+    """Records what members and holders did; raises ``BrokenError`` when that breaks a rule."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, str] = {}
-        self.entries: dict[int, tuple[int, int, bytes]] = {}
-        self.commit_terms: dict[int, int] = {}  # in which an entry was committed, which is not its own term
-        self.states: dict[int, bytes] = {}
-        self.tokens: dict[int, tuple[int, int]] = {}  # token: session and number of its request
+        self.leaders: dict[int, str] = {}  # by term
+        self.entries: dict[int, tuple[int, int, bytes]] = {}  # term, kind and data of applied ones, by index
+        # By index, the term in which the entry was committed; it may be later than the entry's own term.
+        self.commit_terms: dict[int, int] = {}
+        self.states: dict[int, bytes] = {}  # snapshots after some indices
+        self.tokens: dict[int, tuple[int, int]] = {}  # session and sequence number of the request, by token
         self.operations: dict[str, list[Operation]] = defaultdict(list)
-        self.initial_versions: dict[str, int] = {}  # of each record, before anything goes wrong
+        self.initial_versions: dict[str, int] = {}  # of each record, before faults begin
         self._steps = 0
-        self._last_complete: tuple[str, int] | None = (
-            None  # the leader and term that were found complete last
-        )
+        self._last_complete: tuple[str, int] | None = None  # leader and term that were checked last
 
     def record_leader(self, term: int, name: str) -> None:
-        """A member leads a term."""
+        """Record that a member leads a term."""
         if self.leaders.setdefault(term, name) != name:
             raise BrokenError("election", f"{self.leaders[term]} and {name} lead term {term}")
 
-    def record_applied(self, name: str, term: int, action: Committed, state: Callable[[], bytes]) -> None:
-        """A member has applied an entry in that term; who commits it is the first to do so."""
+    def record_applied(
+        self, name: str, term: int, action: Committed, take_snapshot: Callable[[], bytes]
+    ) -> None:
+        """Record that a member in a term has applied an entry; the member that commits it is the first."""
         self.commit_terms.setdefault(action.index, term)
         entry = (action.entry.term, action.entry.kind, action.entry.data)
         if self.entries.setdefault(action.index, entry) != entry:
             raise BrokenError("machine", f"{name} applied another entry at {action.index}")
         if action.index % STATE_CHECK_INTERVAL == 0:
-            data = state()
+            data = take_snapshot()
             if self.states.setdefault(action.index, data) != data:
                 raise BrokenError("machine", f"{name} has another state after {action.index}")
 
     def record_grant(self, token: int, session: int, seq: int) -> None:
-        """A holder was given a token."""
+        """Record that a holder was granted a lease under a token."""
         owner = (session, seq)
         if self.tokens.setdefault(token, owner) != owner:
             raise BrokenError("token", f"{token} was given to {self.tokens[token]} and {owner}")
 
     def check_members(self, nodes: Iterable[QuorumNode]) -> None:
-        """Rules on all members together, after a step of one."""
+        """Check the rules on all members after a step of one of them."""
         self._steps += 1
-        living = [node for node in nodes if node.core is not None]
+        running = [node for node in nodes if node.core is not None]
         if self._steps % LOG_CHECK_INTERVAL == 0:
-            self._check_matching(living)
-        for node in living:
+            self._check_matching(running)
+        for node in running:
             assert node.core is not None
             if node.core.raft.role is Role.LEADER:
                 self._check_complete(node.name, node.core.raft)
 
     def _check_complete(self, name: str, raft: Raft) -> None:
-        """A leader has every entry that was committed in an older term (paper, figure 3)."""
+        """Check that a leader has every entry that was committed in an older term (paper, figure 3)."""
         log, term = raft.log, raft.term
         if self._last_complete == (name, term):
             return
@@ -94,20 +95,20 @@
                 raise BrokenError("completeness", f"{name} leads term {term} without entry {index}")
 
     def _check_matching(self, nodes: list[QuorumNode]) -> None:
-        """Logs that agree on an entry agree on all before it."""
+        """Check that logs which agree on an entry agree on all entries before it."""
         logs = [(node.name, node.core.raft.log) for node in nodes if node.core is not None]
         for at, (name, log) in enumerate(logs):
             for other_name, other in logs[at + 1 :]:
-                low = max(log.first_index, other.first_index)
-                agree = False
-                for index in range(min(log.last_index, other.last_index), low - 1, -1):
+                first_common = max(log.first_index, other.first_index)
+                have_agreed = False
+                for index in range(min(log.last_index, other.last_index), first_common - 1, -1):
                     one, two = log.entry_at(index), other.entry_at(index)
-                    agree = agree or one.term == two.term
-                    if agree and (one.term, one.kind, one.data) != (two.term, two.kind, two.data):
+                    have_agreed = have_agreed or one.term == two.term
+                    if have_agreed and (one.term, one.kind, one.data) != (two.term, two.kind, two.data):
                         raise BrokenError("matching", f"{name} and {other_name} differ at {index}")
 
     def check_exclusive(self, holder: SimHolder, holders: Iterable[SimHolder]) -> None:
-        """No other may act on the lease of a holder at this moment."""
+        """Check that no other holder may act on a holder's lease now."""
         for other in holders:
             held = other.held_lease
             if other is holder or held is None or other.lease != holder.lease:
@@ -116,12 +117,12 @@
                 raise BrokenError("overlap", f"{other.name} and {holder.name} both may act on {holder.lease}")
 
     def check_room(self, member: Member, request: Request) -> None:
-        """With all disks full, nothing is taken on that makes the state larger."""
+        """Check that a request accepted while all disks are full does not make the state larger."""
         if not isinstance(request, Read | Watch | Wait) and may_grow_state(request):
             raise BrokenError("room", f"{member.raft.name} takes on {type(request).__name__} on full disks")
 
     def check_history(self, history: list[records.AnyRecord]) -> None:
-        """What shows only in the whole: the resource's record by the lab's checker, and linear records."""
+        """Check the history at the end: actions by the proving ground's checker, and linearizability."""
         for finding in one_actor(Run(history)):
             raise BrokenError("fence", finding.text)
         for key, operations in self.operations.items():
@@ -129,17 +130,17 @@
                 raise BrokenError("linear", f"no order explains what was seen of {key}")
 
 
-def step_record(state: tuple[int, bytes], asked: Any, answer: Any) -> tuple[bool, tuple[int, bytes]]:
-    """One record as it has to behave."""
+def step_record(state: tuple[int, bytes], request: Any, answer: Any) -> tuple[bool, tuple[int, bytes]]:
+    """Return whether a record in a state (version, value) may give an answer, and its state afterwards."""
     version, _ = state
-    if isinstance(asked, Read):
+    if isinstance(request, Read):
         return answer is None or (answer.version, answer.value) == state, state
-    assert isinstance(asked, Put)
-    then = (version + 1, asked.value)
+    assert isinstance(request, Put)
+    written = (version + 1, request.value)
     if answer is None:
-        return asked.version == version, then
+        return request.version == version, written
     if isinstance(answer, NoRoom):
         return True, state
     if isinstance(answer, Done):
-        return asked.version == version and answer.version == version + 1, then
-    return isinstance(answer, Refused) and asked.version != version, state
+        return request.version == version and answer.version == version + 1, written
+    return isinstance(answer, Refused) and request.version != version, state
