--- a/fleetlab/sim/quorum/node.py
+++ b/fleetlab/sim/quorum/node.py
@@ -1,4 +1,4 @@
-"""One member of the simulated quorum on its machine: its disk, its clock, crashes and stalls."""
+"""A member of the simulated quorum on its machine, with its disk, clock, crashes and pauses."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 
 
 class QuorumNode(SimNode[Member]):
-    """One member on its machine."""
+    """The simulated process of one member, and its disk."""
 
     def __init__(self, sim: QuorumSim, name: str) -> None:
         super().__init__(sim.world, name)
         self.sim = sim
         self.disk: SimDisk[Persist] = SimDisk()
-        self.extra_sync_delay_us = 0
-        self.announced_term = 0  # the latest that others have heard from it
-        self.recorded_starts = 0  # starts that its folder knows of
+        self.extra_sync_delay_us = 0  # added to each sync while the disk is slow
+        self.announced_term = 0  # the latest that it has sent to others
+        self.recorded_starts = 0  # number of starts that its folder has recorded
         self.registry = sim.parts.registry(name, {})
         self.disk_full = False
 
     def draw_clock_rate(self) -> float:
-        """Within the stated bound of drift."""
+        """Draw a rate within the stated bound of drift."""
         return 1 + self.world.random.uniform(-MAX_DRIFT, MAX_DRIFT) * USED_DRIFT_SHARE
 
     def create_core(self) -> Member:
-        """A member from what the disk has; ``BrokenError`` where its term went back."""
+        """Return a member with the state on its disk; raises ``BrokenError`` if its term went back."""
         self.recorded_starts += 1
-        # What others promised was not on its disk; whom it heard last was.
+        # The promises of other members are not stored on disk; their latest incarnations are.
         self.registry = self.sim.parts.registry(self.name, self.registry.known, self.registry.shunned)
         self.incarnation = Incarnation(self.name, self.recorded_starts, str(self.generation))
-        folded = LogReplay()
+        replay = LogReplay()
         for item in self.disk.durable:
-            folded.add(item)
+            replay.add(item)
         member = self.sim.parts.member(
-            self.name, self.sim.names, saved=folded.saved, draw=self.world.random.randint,
+            self.name, self.sim.names, saved=replay.saved, draw=self.world.random.randint,
             timing=NARROW_TIMING if self.sim.plan.narrow_elections else TIMING,
             now_us=self.clock.now_us(), raft=self.sim.parts.raft, state=self.sim.parts.state_machine,
             clocks=self.sim.parts.lease_timers, watch=partial(self.sim.on_applied, self.name),
@@ -59,12 +59,12 @@
         return member
 
     def set_disk_full(self, full: bool) -> None:
-        """Its disk is full, or has room again."""
+        """Set whether the disk is full."""
         self.disk_full = full
         self.run_step(lambda member, now_us: member.set_disk_full(now_us, full))
 
     def crash(self, machine: bool) -> None:
-        """The process ends; with its machine, what was not synced may be gone."""
+        """End the process; if its machine crashes too, unsynced writes may be lost."""
         if self.core is None:
             return
         self.core = None
@@ -72,7 +72,7 @@
         self.disk.crash(self.world.random)
 
     def execute_actions(self, actions: list[Any]) -> None:
-        """What follows from a step of the member, and a look at the rules; the machine may go down then."""
+        """Execute the actions of a step and check the rules; the machine may crash afterwards."""
         assert self.core is not None
         raft = self.core.raft
         if raft.role is Role.LEADER:
