--- a/fleetlab/sim/quorum/plan.py
+++ b/fleetlab/sim/quorum/plan.py
@@ -1,4 +1,4 @@
-"""What a schedule is drawn from: its shape by seed, the classes under test, and the fixed figures."""
+"""The plan of a schedule, drawn from its seed, the classes under test, and fixed settings."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 
 SECOND_US = 1_000_000
 TIMING = Timing(min_election_us=150_000, max_election_us=300_000, heartbeat_us=40_000)
+# Election timeouts of a narrow range, so that several members become candidates at once and split votes.
 NARROW_TIMING = Timing(min_election_us=150_000, max_election_us=165_000, heartbeat_us=40_000)
 LEASES = ("sweep", "share")
 KEYS = ("a", "b")
 LEASE_TTL_MS = 900
-LEASE_DELAY_MS = 300
-MAX_DRIFT = 0.01  # the stated bound of clocks
-USED_DRIFT_SHARE = 0.9  # the share of that bound which clocks here take up
+LEASE_DELAY_MS = 300  # of the lease "share", before another holder gets it after an unclean end
+MAX_DRIFT = 0.01  # the bound on the relative error of clock rates that holders assume
+USED_DRIFT_SHARE = 0.9  # simulated clocks drift by up to this share of the bound
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """The classes under test; a planted bug is another class in the place of one."""
+    """The classes under test; a planted bug is a subclass in the place of one."""
 
     raft: type[Raft] = Raft
     state_machine: type[StateMachine] = StateMachine
@@ -39,26 +40,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a schedule is drawn from."""
+    """The size, faults and network conditions of a schedule; rates are shares from 0 to 1."""
 
     members: int = 3
     holders: int = 4
-    seconds: int = 12
+    seconds: int = 12  # during which faults begin
     fault_count: int = 10
     loss_rate: float = 0.02
     duplicate_rate: float = 0.02
     late_rate: float = 0.03
     changes_membership: bool = False
-    narrow_elections: bool = False  # election times hardly differ, so that votes are split often
-    fault_kinds: tuple[str, ...] = ()  # of faults; empty: all
+    narrow_elections: bool = False  # use NARROW_TIMING
+    fault_kinds: tuple[str, ...] = ()  # empty: all
     crash_after_step_rate: float = (
-        0.0  # chance that a machine goes down right after a step in which it promised something
+        0.0  # probability that a machine crashes right after a step that sent something
     )
 
 
 def draw_plan(seed: int) -> Plan:
-    """A schedule's shape, drawn from its seed too."""
-    random = Random(seed * 7919)
+    """Draw the plan of a schedule from its seed."""
+    random = Random(seed * 7919)  # another sequence than that of the schedule itself
     return Plan(
         members=random.choice([3, 3, 5]),
         holders=random.choice([3, 4, 6]),
