--- a/fleetlab/sim/quorum/simulation.py
+++ b/fleetlab/sim/quorum/simulation.py
@@ -1,4 +1,4 @@
-"""One schedule of a quorum: members, holders, the network between them, an adversary and a judge."""
+"""One schedule of a simulated quorum: members, holders, the network, an adversary and the rules."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from quorum.raft import Role
 from quorum.state_machine import Done, Open, Put, StateMachine
 
-RECOVERY_S = 5  # after all faults, until work has gone on
+RECOVERY_S = 5  # from the end of all faults until requests have to be served again
 
 
 class QuorumSim:
-    """One schedule."""
+    """Simulates one schedule."""
 
     def __init__(self, seed: int, plan: Plan, parts: Parts | None = None) -> None:
         self.seed, self.plan, self.parts = seed, plan, parts or Parts()
@@ -42,7 +42,7 @@
         self._last_tag = 0
 
     def on_applied(self, name: str, action: Committed, machine: StateMachine) -> None:
-        """A member has applied an entry."""
+        """Record that a member has applied an entry."""
         member = self.nodes[name].core
         assert member is not None
         self.rules.record_applied(name, member.raft.term, action, machine.snapshot)
@@ -64,14 +64,14 @@
         node.run_step(lambda member, now_us: member.receive(now_us, sender, message))
 
     def _handle_request(self, member: Member, now_us: int, tag: int, request: Request) -> list[Any]:
-        last = member.raft.log.last_index
+        last_index = member.raft.log.last_index
         out = member.request(now_us, tag, request)
-        if member.raft.log.last_index > last:
+        if member.raft.log.last_index > last_index:
             self._check_full_disks(member, request)
         return out
 
     def _check_full_disks(self, member: Member, request: Request) -> None:
-        """What no member has room for has to be turned down at once."""
+        """Check a request that was accepted while the disks of all members were full."""
         followers = (
             member.raft.leader_state.followers.values() if member.raft.leader_state is not None else []
         )
@@ -80,13 +80,13 @@
             self.rules.check_room(member, request)
 
     def register_callback(self, name: str, done: Callable[[Response], None]) -> int:
-        """A tag for a request to a member; its answer goes to ``done``."""
+        """Return a tag for a request to a member; ``done`` gets its answer."""
         self._last_tag += 1
         self._callbacks[name, self._last_tag] = done
         return self._last_tag
 
     def send_request(self, asker: str, name: str, request: Request, done: Callable[[Response], None]) -> None:
-        """A client's request to a member; it, or its answer, may be lost."""
+        """Send a client's request to a member; it or its answer may be lost."""
         self._last_tag += 1
         tag, random = self._last_tag, self.world.random
         if (asker, name) in self.network.cut_links or random.random() < self.plan.loss_rate:
@@ -101,7 +101,7 @@
         self.world.call_later(random.randint(200, 3_000), arrive)
 
     def on_answer(self, name: str, reply: Reply) -> None:
-        """A member has answered a request."""
+        """Pass on a member's answer; a request that is answered twice breaks the rule ``once``."""
         done = self._callbacks.pop((name, reply.tag), None)
         if done is None:
             raise BrokenError("once", f"{name} answered request {reply.tag} twice")
@@ -115,15 +115,15 @@
     # Holders
 
     def check_held(self, holder: SimHolder) -> None:
-        """A holder counts itself as holding: no other may act on that lease at this moment."""
-        own = holder.held_lease
-        if own is None or not own.may_act(holder.clock.now_us()):
+        """Check that no other holder may act on the lease that a holder considers its own."""
+        held_lease = holder.held_lease
+        if held_lease is None or not held_lease.may_act(holder.clock.now_us()):
             return
         self.counts["held"] += 1
         self.rules.check_exclusive(holder, self.holders)
 
     def act_on_resource(self, holder: str, lease: str, token: int) -> None:
-        """An act comes to the fenced resource."""
+        """Perform an action on the fenced resource, which admits or rejects it."""
         admitted = self.fences[lease].admits(token)
         self.counts["fenced off"] += not admitted
         self.history.record_action(lease, holder, token, admitted)
@@ -131,7 +131,7 @@
     # The run
 
     def run(self) -> dict[str, int]:
-        """Play the schedule; counts of what took place, or ``BrokenError`` at the first rule that breaks."""
+        """Run the schedule; returns counts of events, or raises ``BrokenError`` at the first broken rule."""
         self.adversary.restore_network()
         for node in self.nodes.values():
             node.start()
@@ -152,33 +152,33 @@
         return dict(self.counts)
 
     def _create_records(self, holder: SimHolder, keys: list[str], then: Callable[[], None]) -> None:
-        """The records that everybody writes, before anything goes wrong."""
+        """Create the records that all holders write, before faults begin."""
 
         def opened(answer: Response, _: int) -> None:
             assert isinstance(answer, Done)
             holder.session = answer.session
-            put(0)
+            create(0)
 
-        def put(at: int) -> None:
-            if at == len(keys):
+        def create(index: int) -> None:
+            if index == len(keys):
                 then()
                 return
 
             def written(answer: Response, _: int) -> None:
                 if not isinstance(answer, Done):
-                    raise BrokenError("once", f"{keys[at]} was there before anybody wrote it: {answer}")
-                self.rules.initial_versions[keys[at]] = answer.version
-                put(at + 1)
+                    raise BrokenError("once", f"{keys[index]} was there before anybody wrote it: {answer}")
+                self.rules.initial_versions[keys[index]] = answer.version
+                create(index + 1)
 
-            holder.ask(Put(holder.session, at + 1, keys[at], 0, INITIAL_VALUE), written)
+            holder.ask(Put(holder.session, index + 1, keys[index], 0, INITIAL_VALUE), written)
 
         holder.ask(Open("first"), opened)
 
     def _check_recovery(self) -> None:
-        """All faults end; within seconds there is one leader, all members agree, and work goes on."""
+        """End all faults; after ``RECOVERY_S`` there has to be one leader, and newly applied entries."""
         self.adversary.end_all_faults()
-        before = self.counts["applied"]
+        applied_before = self.counts["applied"]
         self.world.run_until(self.world.now_us + RECOVERY_S * SECOND_US)
         leaders = [n.name for n in self.nodes.values() if n.core and n.core.raft.role is Role.LEADER]
-        if len(leaders) != 1 or self.counts["applied"] == before:
+        if len(leaders) != 1 or self.counts["applied"] == applied_before:
             raise BrokenError("stuck", f"{RECOVERY_S} s after all faults: leaders {leaders}")
