--- a/tools/cost/__init__.py
+++ b/tools/cost/__init__.py
@@ -1,1 +1,1 @@
-"""What a request costs: one real relay process among small stand-ins, played and read from outside."""
+"""Measures what a request costs: a real relay process among stand-ins, observed from outside."""
