--- a/tools/cost/__main__.py
+++ b/tools/cost/__main__.py
@@ -24,19 +24,19 @@
 from tools.cost.scenarios import SCENARIOS
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-MAX_PAIRS = 50
-BUILD_TIMEOUT_S = 1200  # s that a build may take
+MAX_PAIRS = 50  # upper bound of --pairs
+BUILD_TIMEOUT_S = 1200
 
 
 class Parser(argparse.ArgumentParser):
-    """A command line whose errors are one line, like every other of the tool."""
+    """An argument parser that raises ``CostError``, so that its errors are printed like all others."""
 
     def error(self, message: str) -> NoReturn:
         raise CostError(message)
 
 
 def parse_options(arguments: list[str]) -> argparse.Namespace:
-    """The command line; what it does not allow ends the program with one line."""
+    """Parse the command line; raises ``CostError`` for invalid arguments."""
     parser = Parser(prog="python -m tools.cost", description=__doc__)
     parser.add_argument("scenarios", nargs="*", help=f"all unless named: {', '.join(SCENARIOS)}")
     parser.add_argument("--against", metavar="REV", help="play this revision too, in interleaved pairs")
@@ -58,54 +58,55 @@
 
 
 def unpack_revision(revision: str, folder: Path) -> Path:
-    """The files of a revision, in a folder of their own."""
+    """Extract the files of a git revision into a folder; raises ``CostError`` if it does not exist."""
     command = ["git", "-C", str(ROOT), "archive", "--format=tar", revision]
-    done = subprocess.run(command, capture_output=True, check=False)
-    if done.returncode:
-        raise CostError(f"unknown revision {revision!r}: {done.stderr.decode().strip().splitlines()[-1]}")
-    with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
+    process = subprocess.run(command, capture_output=True, check=False)
+    if process.returncode:
+        raise CostError(f"unknown revision {revision!r}: {process.stderr.decode().strip().splitlines()[-1]}")
+    with tarfile.open(fileobj=io.BytesIO(process.stdout)) as archive:
         archive.extractall(folder, filter="data")
     return folder
 
 
 def build_checkout(name: str, root: Path) -> Checkout:
-    """A checkout after its deploy file's ``build``."""
-    found = load_checkout(name, root)
+    """Run the ``build`` command of a checkout's deploy file; raises ``CostError`` if it fails."""
+    loaded = load_checkout(name, root)
     build = tomllib.loads((root / "deploy" / "balancer.toml").read_text(encoding="utf-8")).get("build")
     if build:
-        done = subprocess.run(
+        process = subprocess.run(
             ["/bin/sh", "-c", build], cwd=root, capture_output=True, timeout=BUILD_TIMEOUT_S, check=False
         )
-        if done.returncode:
-            lines = done.stderr.decode(errors="replace").strip().splitlines()
-            raise CostError(f"{name}: the build failed: {lines[-1] if lines else done.returncode}")
-    return found
+        if process.returncode:
+            lines = process.stderr.decode(errors="replace").strip().splitlines()
+            raise CostError(f"{name}: the build failed: {lines[-1] if lines else process.returncode}")
+    return loaded
 
 
 async def measure_scenario(
     sources: list[Checkout], scenario: str, pairs: int, profiles: Path | None
 ) -> list[list[Figures]]:
-    """The plays of each source: times from plain plays, taken in turns, and counts from one more of each.
+    """Run a scenario ``pairs`` times for each source; returns the figures of each run, by source.
 
-    The turns change sides: what warms up or tires with each play burdens both alike.
+    Counts come from one additional run of each source with the probe, times from runs without it. The order
+    of the sources alternates, so that effects of the run order, such as warm caches, burden both alike.
     """
     counts = []
     for source in sources:
         profile = profiles / f"{scenario}.profile" if profiles is not None and source is sources[-1] else None
         counts.append(await run_play(source, SCENARIOS[scenario], True, profile))
-    plays: list[list[Figures]] = [[] for _ in sources]
+    figures_by_source: list[list[Figures]] = [[] for _ in sources]
     for pair in range(pairs):
         order = list(range(len(sources)))
-        for at in order if pair % 2 == 0 else reversed(order):
-            figures = await run_play(sources[at], SCENARIOS[scenario], False)
-            plays[at].append(counts[at] | figures)
-    return plays
+        for index in order if pair % 2 == 0 else reversed(order):
+            figures = await run_play(sources[index], SCENARIOS[scenario], False)
+            figures_by_source[index].append(counts[index] | figures)
+    return figures_by_source
 
 
 async def run_scenarios(
     chosen: argparse.Namespace, sources: list[Checkout]
 ) -> dict[str, list[list[Figures]]]:
-    """All scenarios, one after the other, with a line for who waits."""
+    """Run the chosen scenarios one after another, with a line of progress on standard error for each."""
     results = {}
     for scenario in chosen.scenarios or list(SCENARIOS):
         print(f"playing {scenario} ...", file=sys.stderr, flush=True)
@@ -114,7 +115,7 @@
 
 
 async def run_until_signal(chosen: argparse.Namespace, sources: list[Checkout]) -> Any:
-    """The same; SIGTERM ends it as SIGINT does, with every process taken down."""
+    """Run the scenarios; SIGTERM cancels them like SIGINT, so that all started processes are ended."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -124,7 +125,7 @@
 def format_results(
     results: dict[str, list[list[Figures]]], sources: list[Checkout]
 ) -> tuple[str, dict[str, Any]]:
-    """The table, and everything as JSON."""
+    """Return the table to print, and all figures as data for JSON."""
     everything: dict[str, Any] = {
         "revisions": [source.name for source in sources],
         "plays": {
@@ -140,13 +141,14 @@
         return table.format_figures(medians), everything
     ratios = {scenario: table.compare_figures(*plays) for scenario, plays in results.items()}
     everything["ratios"] = {
-        scenario: {name: asdict(ratio) for name, ratio in found.items()} for scenario, found in ratios.items()
+        scenario: {name: asdict(ratio) for name, ratio in by_name.items()}
+        for scenario, by_name in ratios.items()
     }
     return table.format_ratios(ratios), everything
 
 
 def measure(arguments: list[str]) -> None:
-    """Build, play, tell."""
+    """Build the revisions, measure the scenarios, and print or write the results."""
     chosen = parse_options(arguments)
     with tempfile.TemporaryDirectory(prefix="cost-base-") as folder:
         sources = [build_checkout("now", ROOT)]
@@ -160,7 +162,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """0 once measured; 2 with one line on standard error where that cannot be done."""
+    """Run the tool; returns the exit code: 0, 2 after an error, 130 after an interrupt."""
     try:
         measure(arguments)
     except CostError as error:
