--- a/tools/cost/reading.py
+++ b/tools/cost/reading.py
@@ -1,6 +1,6 @@
-"""Readings of a running process from outside: what the system and the probe tell of it.
+"""Readings of a running process from outside: by the system, by strace, and by the probe.
 
-A source that the machine lacks gives nothing: its figures are left out and never taken for zero.
+A source that the machine lacks gives no figures; they are left out and not reported as zero.
 """
 
 from __future__ import annotations
@@ -14,45 +14,45 @@
 from pathlib import Path
 
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
-POLL_INTERVAL_S = 0.01  # s between looks for what the process or strace writes
+POLL_INTERVAL_S = 0.01  # between checks for what the relay or the probe has done
 Figures = dict[str, float]
 
 
 class CostError(Exception):
-    """A measurement that cannot be made, in one line."""
+    """A measurement cannot be made; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process had used up when it was read."""
+    """Resources that a process had used, or uses, when it was read."""
 
-    cpu_us: float  # on a processor, all threads
-    system_us: float  # of this in the kernel, in whole ticks
-    sleeps: int  # times that it waited for something
-    memory_kb: int
-    peak_memory_kb: int
-    descriptors: int
+    cpu_us: float  # processor time of all threads
+    system_us: float  # its part in the kernel, which the system counts in whole ticks
+    sleeps: int  # voluntary context switches
+    memory_kb: int  # resident
+    peak_memory_kb: int  # resident
+    descriptors: int  # open
 
 
 def parse_status(text: str) -> dict[str, int]:
-    """The numbers in ``/proc/PID/status``."""
+    """Return the fields of ``/proc/PID/status`` that begin with a number."""
     pairs = (line.split(":", 1) for line in text.splitlines() if ":" in line)
     return {name: int(words[0]) for name, rest in pairs if (words := rest.split()) and words[0].isdecimal()}
 
 
 def read_usage(pid: int) -> Usage:
-    """Read a process; ``CostError`` where it is gone."""
+    """Read a process's usage; raises ``CostError`` if it is gone."""
     folder = Path(f"/proc/{pid}")
     try:
-        ran = [int((task / "schedstat").read_text().split()[0]) for task in (folder / "task").iterdir()]
+        cpu_ns = [int((task / "schedstat").read_text().split()[0]) for task in (folder / "task").iterdir()]
         status = parse_status((folder / "status").read_text())
-        ticks = (folder / "stat").read_text().rpartition(")")[2].split()
+        fields = (folder / "stat").read_text().rpartition(")")[2].split()
         descriptors = len(list((folder / "fd").iterdir()))
     except (OSError, IndexError) as error:
         raise CostError(f"the relay cannot be read: {error}") from error
     return Usage(
-        cpu_us=sum(ran) / 1000,
-        system_us=int(ticks[12]) * TICK_S * 1e6,
+        cpu_us=sum(cpu_ns) / 1000,
+        system_us=int(fields[12]) * TICK_S * 1e6,
         sleeps=status["voluntary_ctxt_switches"],
         memory_kb=status.get("VmRSS", 0),
         peak_memory_kb=status.get("VmHWM", 0),
@@ -61,7 +61,7 @@
 
 
 def parse_strace_summary(summary: str) -> dict[str, int]:
-    """System calls by name in the table of ``strace -c``."""
+    """Return the number of system calls by name from the table of ``strace -c``."""
     calls: dict[str, int] = {}
     for line in summary.splitlines():
         words = line.split()
@@ -71,7 +71,7 @@
 
 
 class Probe:
-    """The counts that the process tells of itself, on a signal."""
+    """Reads counts from inside the process, which it writes to a file when it gets a signal."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -79,12 +79,12 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """What makes a Python process load the probe."""
+        """The variables that make a Python process load the probe."""
         folder = str(Path(__file__).resolve().parent / "probe")
         return {"COST_PROBE": str(self.path), "PYTHONPATH": folder}
 
     async def read(self, pid: int) -> Figures:
-        """Ask, and wait for the answer."""
+        """Signal the process, and wait for the line that it writes."""
         before = self._lines()
         os.kill(pid, signal.SIGUSR1)
         while len(lines := self._lines()) == len(before):
@@ -97,14 +97,14 @@
 
 
 class Strace:
-    """System calls of a process while it is traced; none are told where there is no ``strace``."""
+    """Counts the system calls of a process; gives none if ``strace`` is not installed."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self, pid: int) -> None:
-        """Attach; the process goes on only once this is done."""
+        """Attach to the process and wait until strace has done so."""
         program = shutil.which("strace")
         if program is None:
             return
@@ -115,10 +115,10 @@
             stderr=asyncio.subprocess.PIPE,
         )
         assert self._process.stderr is not None
-        await self._process.stderr.readline()  # it says that it is attached, or why not
+        await self._process.stderr.readline()  # reports that it is attached, or why not
 
     async def stop(self) -> dict[str, int]:
-        """Detach; the calls by name, nothing where it could not be counted."""
+        """Detach; returns the number of calls by name, empty if they could not be counted."""
         if self._process is None:
             return {}
         if self._process.returncode is None:
