--- a/tools/cost/table.py
+++ b/tools/cost/table.py
@@ -1,4 +1,4 @@
-"""Figures as text: one play, or two revisions in pairs."""
+"""Tables of figures: of one revision, or of two revisions in pairs."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Ratio:
-    """A figure of one revision over the same of another: the median of the pairs, and how far they spread."""
+    """A figure of this revision divided by that of the base revision, over pairs of runs."""
 
-    base: float
-    now: float
-    ratio: float
-    least: float
-    most: float
-    pairs: int
+    base: float  # median
+    now: float  # median
+    ratio: float  # median of the pairs' ratios
+    least: float  # smallest of the pairs' ratios
+    most: float  # largest of the pairs' ratios
+    pairs: int  # number of pairs
 
     @property
     def is_clear(self) -> bool:
-        """Whether every pair says the same: all below or all above one."""
+        """Whether all pairs agree on the direction of the change: all ratios are below 1, or all above."""
         return self.most < 1 or self.least > 1
 
 
 def compute_ratio(pairs: list[tuple[float, float]]) -> Ratio | None:
-    """The ratio over pairs of (base, now); None where the base was nothing and there is no ratio."""
+    """Return the ratio over pairs of (base, now); None if there is no pair or a base is not positive."""
     if not pairs or any(base <= 0 for base, _ in pairs):
         return None
     ratios = [now / base for base, now in pairs]
@@ -36,54 +36,54 @@
 
 
 def compare_figures(base: list[Figures], now: list[Figures]) -> dict[str, Ratio]:
-    """Each figure that both revisions tell in every pair."""
+    """Return the ratio of each figure that all runs of both revisions have and whose base is positive."""
     names = [name for name in (now[0] if now else ()) if all(name in play for play in (*base, *now))]
-    found = {
+    ratios = {
         name: compute_ratio([(b[name], n[name]) for b, n in zip(base, now, strict=True)]) for name in names
     }
-    return {name: ratio for name, ratio in found.items() if ratio is not None}
+    return {name: ratio for name, ratio in ratios.items() if ratio is not None}
 
 
 def format_number(value: float) -> str:
-    """Short, without a show of precision that a play does not have."""
+    """Format a number to three significant digits, or whole from 100: runs are no more precise than that."""
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def format_columns(rows: Iterable[tuple[str, ...]]) -> str:
-    """Text in columns: names to the left, numbers to the right."""
-    lines = list(rows)
-    widths = [max(len(line[at]) for line in lines) for at in range(len(lines[0]))]
+    """Format rows as aligned columns: the first two to the left, the others to the right."""
+    table = list(rows)
+    widths = [max(len(row[column]) for row in table) for column in range(len(table[0]))]
 
-    def aligned(line: tuple[str, ...]) -> str:
-        cells = [cell.rjust(width) for cell, width in zip(line, widths, strict=True)]
-        cells[:2] = [cell.ljust(width) for cell, width in zip(line[:2], widths, strict=False)]
+    def align(row: tuple[str, ...]) -> str:
+        cells = [cell.rjust(width) for cell, width in zip(row, widths, strict=True)]
+        cells[:2] = [cell.ljust(width) for cell, width in zip(row[:2], widths, strict=False)]
         return "  ".join(cells).rstrip()
 
-    return "\n".join(map(aligned, lines))
+    return "\n".join(map(align, table))
 
 
 def format_figures(results: dict[str, Figures]) -> str:
-    """A table of the figures of each scenario."""
+    """Return a table of the figures of each scenario."""
     rows = [("scenario", "figure", "value")]
     rows += [
         (scenario, name, format_number(value))
-        for scenario, plays in results.items()
-        for name, value in plays.items()
+        for scenario, figures in results.items()
+        for name, value in figures.items()
     ]
     return format_columns(rows)
 
 
 def format_ratios(results: dict[str, dict[str, Ratio]]) -> str:
-    """A table of ratios; ``=`` where the pairs do not agree on the sign of a change."""
+    """Return a table of ratios, with ``=`` where the pairs do not agree on the direction of the change."""
     rows = [("scenario", "figure", "base", "now", "ratio", "least", "most", "")]
     for scenario, ratios in results.items():
-        for name, r in ratios.items():
-            told = (
-                format_number(r.base),
-                format_number(r.now),
-                f"{r.ratio:.2f}",
-                f"{r.least:.2f}",
-                f"{r.most:.2f}",
+        for name, ratio in ratios.items():
+            cells = (
+                format_number(ratio.base),
+                format_number(ratio.now),
+                f"{ratio.ratio:.2f}",
+                f"{ratio.least:.2f}",
+                f"{ratio.most:.2f}",
             )
-            rows.append((scenario, name, *told, "" if r.is_clear else "="))
+            rows.append((scenario, name, *cells, "" if ratio.is_clear else "="))
     return format_columns(rows)
