--- a/tools/cost/probe/sitecustomize.py
+++ b/tools/cost/probe/sitecustomize.py
@@ -1,10 +1,11 @@
-"""Counts inside of the measured process, told on SIGUSR1: one line of JSON into ``$COST_PROBE``.
+"""Counts inside the measured process. On SIGUSR1 it appends a line of JSON to the file ``$COST_PROBE``.
 
-Between an odd signal and the next one calls of functions are counted too; their profile is left beside it.
+From the first signal to the second, the third to the fourth and so on, function calls are profiled too; the
+profile is written to ``$COST_PROBE.profile``.
 
-Python loads this file at its start because the tool puts this folder on ``PYTHONPATH``. The relay's own files
-stay as they are, so any revision can be measured alike. Tracing memory slows a process down: a play with this
-probe gives counts and bytes, never times.
+Python loads this file when it starts because the tool puts this folder on ``PYTHONPATH``. The relay's files
+are not changed, so every revision is measured in the same way. Tracing memory slows a process down: runs with
+this probe give counts and bytes, but no times.
 """
 
 import cProfile
@@ -17,11 +18,11 @@
 
 _write = os.write
 _journal = {"writes": 0, "bytes": 0}
-_profiles: list[cProfile.Profile] = []  # the one that runs, or none
+_profiles: list[cProfile.Profile] = []  # the running profile, if any
 
 
 def _counting_write(fd: int, data: Any) -> int:
-    """The system's ``write``, counted where the journal's code asks for it."""
+    """Replaces ``os.write``; counts the calls from the journal's module."""
     written = _write(fd, data)
     if os.path.basename(sys._getframe(1).f_code.co_filename) == "journal.py":
         _journal["writes"] += 1
@@ -30,6 +31,7 @@
 
 
 def _report(_number: int, _frame: Any) -> None:
+    """Write the counts, and start or stop profiling; the handler of SIGUSR1."""
     calls = 0
     if _profiles:
         profile = _profiles.pop()
@@ -37,7 +39,7 @@
         calls = sum(entry.callcount for entry in profile.getstats())
         profile.dump_stats(os.environ["COST_PROBE"] + ".profile")
     traced, peak = tracemalloc.get_traced_memory()
-    told = {
+    counts = {
         "journal_writes": _journal["writes"],
         "journal_bytes": _journal["bytes"],
         "python_bytes": traced,
@@ -46,7 +48,7 @@
         "python_blocks": sys.getallocatedblocks(),
     }
     with open(os.environ["COST_PROBE"], "a", encoding="utf-8") as file:
-        file.write(json.dumps(told) + "\n")
+        file.write(json.dumps(counts) + "\n")
     tracemalloc.reset_peak()
     if calls == 0:
         _profiles.append(cProfile.Profile())
