--- a/tools/disks.py
+++ b/tools/disks.py
@@ -1,7 +1,7 @@
-"""What a durable write costs a quorum's member: its log file against sqlite3, ``python -m tools.disks``.
+"""Compares durable writes of a quorum member's log file and of sqlite3: ``python -m tools.disks``.
 
-Both write the same entries and are synced before a write counts: the file by fsync, sqlite3 by a transaction
-with ``synchronous=FULL`` on a write-ahead log. They take turns, so that both meet the same disk.
+Both write the same entries and sync each write: the file by fsync, sqlite3 by a transaction with
+``synchronous=FULL`` on a write-ahead log. They run in turns, so that both meet the same state of the disk.
 """
 
 from __future__ import annotations
@@ -16,13 +16,17 @@
 from quorum.messages import Entry, Persist
 from quorum.store import Store
 
-ROUNDS, WRITES_PER_ROUND = 5, 60  # turns of each, and writes in a turn
+ROUNDS = 5
+WRITES_PER_ROUND = 60  # of each of the two
 BATCH_SIZES = (1, 8, 64)  # entries in a write
-ENTRY = Entry(3, 0, bytes(80))  # the size of a renewal
+ENTRY = Entry(3, 0, bytes(80))  # as large as the entry of a lease's renewal
 
 
 def file_writer(folder: Path) -> Callable[[int, int], None]:
-    """The member's own store."""
+    """Return a function that writes entries to a member's own store.
+
+    It takes the index of the first entry and the number of entries.
+    """
     store = Store(folder)
 
     def write(first: int, count: int) -> None:
@@ -32,7 +36,7 @@
 
 
 def sqlite_writer(folder: Path) -> Callable[[int, int], None]:
-    """A table of entries."""
+    """Return a function that writes entries to a table of sqlite3; it takes the same arguments."""
     folder.mkdir()
     database = sqlite3.connect(folder / "log.db", isolation_level=None)
     database.execute("PRAGMA journal_mode=WAL")
@@ -42,7 +46,7 @@
     def write(first: int, count: int) -> None:
         database.execute("BEGIN IMMEDIATE")
         database.execute("DELETE FROM log WHERE at >= ?", (first,))
-        rows = [(first + at, ENTRY.term, ENTRY.kind, ENTRY.data) for at in range(count)]
+        rows = [(first + offset, ENTRY.term, ENTRY.kind, ENTRY.data) for offset in range(count)]
         database.executemany("INSERT INTO log VALUES (?, ?, ?, ?)", rows)
         database.execute("COMMIT")
 
@@ -50,34 +54,34 @@
 
 
 def measure_writes(write: Callable[[int, int], None], first: int, count: int) -> tuple[int, list[float]]:
-    """One turn: the next index, and each write's time in ms."""
-    times = []
+    """Run one round of writes; returns the next free index, and the time of each write in ms."""
+    times_ms = []
     for _ in range(WRITES_PER_ROUND):
-        begun_s = time.perf_counter()
+        start_s = time.perf_counter()
         write(first, count)
-        times.append((time.perf_counter() - begun_s) * 1000)
+        times_ms.append((time.perf_counter() - start_s) * 1000)
         first += count
-    return first, times
+    return first, times_ms
 
 
 def main() -> None:
-    """A line for each batch size."""
+    """Measure each batch size and print a line for it."""
     for count in BATCH_SIZES:
         with tempfile.TemporaryDirectory(dir=".") as folder:
-            ways = {
+            writers = {
                 "file": file_writer(Path(folder) / "file"),
                 "sqlite3": sqlite_writer(Path(folder) / "sqlite"),
             }
-            at, times = dict.fromkeys(ways, 1), {name: list[float]() for name in ways}
+            next_index, times_ms = dict.fromkeys(writers, 1), {name: list[float]() for name in writers}
             for _ in range(ROUNDS):
-                for name, write in ways.items():
-                    at[name], more = measure_writes(write, at[name], count)
-                    times[name] += more
-        told = ", ".join(
-            f"{name} {median(some):.2f} ms (p99 {quantiles(some, n=100)[98]:.2f})"
-            for name, some in times.items()
+                for name, write in writers.items():
+                    next_index[name], round_times_ms = measure_writes(write, next_index[name], count)
+                    times_ms[name] += round_times_ms
+        results = ", ".join(
+            f"{name} {median(times):.2f} ms (p99 {quantiles(times, n=100)[98]:.2f})"
+            for name, times in times_ms.items()
         )
-        print(f"{count:3} entries a write: {told}")
+        print(f"{count:3} entries a write: {results}")
 
 
 if __name__ == "__main__":
