--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the project that are no part of what runs in service."""
+"""Development tools, which are not part of the service."""
