--- a/fleetlab/sim/model.py
+++ b/fleetlab/sim/model.py
@@ -50,11 +50,10 @@
     """A holder: its requests so far, and its lease."""
 
     requests_sent: tuple[Acquire | Renew | Release, ...] = ()
-    request_ages_ms: tuple[
-        int, ...
-    ] = ()  # ms since each sending of the last one, while its answer is awaited
+    # Time since each sending of the last request; empty once its answer is no longer awaited.
+    request_ages_ms: tuple[int, ...] = ()
     token: int = 0  # 0: holds nothing
-    remaining_ms: int = 0  # ms in which it may act
+    remaining_ms: int = 0  # time in which it may still act
     pending_act_token: int = 0  # the token of an act that is on its way; 0: none
 
 
@@ -152,6 +151,7 @@
         """Return the holder's lease, on a clock that reads 0."""
         held_lease = self._parts.held_lease(self._limits.ttl_ms * 1000, TimingBounds(self._limits.drift, 0))
         if holder.token:
+            # The base class again: this lease was granted before.
             start_us = (holder.remaining_ms - self._limits.counted_ms) * 1000
             HeldLease.granted(held_lease, start_us, start_us, holder.token)
         return held_lease
@@ -176,9 +176,9 @@
         if state.leader_changes_left:
             for kept in range(len(state.log) + 1):
                 yield f"a new leader, with {kept} entries", self._change_leader(state, kept)
-        for at, holder in enumerate(state.holders):
-            for label, after in self._holder_steps(state, at, holder):
-                yield f"h{at + 1} {label}", after
+        for index, holder in enumerate(state.holders):
+            for label, after in self._holder_steps(state, index, holder):
+                yield f"h{index + 1} {label}", after
 
     def _tick_steps(self, state: State) -> Iterator[tuple[str, State]]:
         for server_ms, *holders_ms in product(sorted({self._limits.slow_ms, self._limits.fast_ms}), repeat=3):
@@ -208,10 +208,10 @@
         owners = self._record_owner(state.owners, command, answer)
         answers = state.answers
         if isinstance(command, Acquire | Renew | Release):
-            at = command.session - 1
-            holder = state.holders[at]
+            index = command.session - 1
+            holder = state.holders[index]
             if holder.request_ages_ms and holder.requests_sent[-1] == command:
-                answers = replace_item(answers, at, answers[at] | {answer})
+                answers = replace_item(answers, index, answers[index] | {answer})
         return state._replace(
             machine_snapshot=snapshot, timer_ms=timer_ms, log=tuple(rest), answers=answers, owners=owners
         )
@@ -254,10 +254,10 @@
             leader_changes_left=state.leader_changes_left - 1,
         )
 
-    def _holder_steps(self, state: State, at: int, holder: Holder) -> Iterator[tuple[str, State]]:
+    def _holder_steps(self, state: State, index: int, holder: Holder) -> Iterator[tuple[str, State]]:
         def with_holder(changed: Holder, answers: frozenset[Answer] | None = None) -> State:
-            all_answers = state.answers if answers is None else replace_item(state.answers, at, answers)
-            return state._replace(holders=replace_item(state.holders, at, changed), answers=all_answers)
+            all_answers = state.answers if answers is None else replace_item(state.answers, index, answers)
+            return state._replace(holders=replace_item(state.holders, index, changed), answers=all_answers)
 
         if len(state.log) < self._limits.log:
             for command in holder.requests_sent:
@@ -265,14 +265,14 @@
         if holder.request_ages_ms:
             if len(holder.request_ages_ms) < self._limits.tries:
                 yield "asks again", with_holder(holder._replace(request_ages_ms=(*holder.request_ages_ms, 0)))
-            for answer in state.answers[at]:
+            for answer in state.answers[index]:
                 yield f"hears {answer}", with_holder(self._receive_answer(holder, answer), frozenset())
             yield (
                 "gives up",
                 with_holder(self._advance_holder(holder._replace(request_ages_ms=()), 0), frozenset()),
             )
-        elif len(holder.requests_sent) < self._limits.requests[at]:
-            for command in self._possible_requests(at, holder):
+        elif len(holder.requests_sent) < self._limits.requests[index]:
+            for command in self._possible_requests(index, holder):
                 released = {"token": 0, "remaining_ms": 0} if isinstance(command, Release) else {}
                 requesting = holder._replace(
                     requests_sent=(*holder.requests_sent, command), request_ages_ms=(0,), **released
@@ -281,10 +281,10 @@
         if self.may_act(holder) and not holder.pending_act_token:
             yield "begins to act", with_holder(holder._replace(pending_act_token=holder.token))
         if holder.pending_act_token:
-            yield "acts", self._act_on_resource(state, at, holder)
+            yield "acts", self._act_on_resource(state, index, holder)
 
-    def _possible_requests(self, at: int, holder: Holder) -> Iterator[Acquire | Renew | Release]:
-        session, seq = at + 1, len(holder.requests_sent) + 1
+    def _possible_requests(self, index: int, holder: Holder) -> Iterator[Acquire | Renew | Release]:
+        session, seq = index + 1, len(holder.requests_sent) + 1
         if self.may_act(holder):
             yield Renew(session, seq, LEASE, holder.token)
             yield Release(session, seq, LEASE, holder.token)
@@ -318,14 +318,14 @@
             request_ages_ms=(), token=held_lease.token, remaining_ms=held_lease.end_us // 1000
         )
 
-    def _act_on_resource(self, state: State, at: int, holder: Holder) -> State:
+    def _act_on_resource(self, state: State, index: int, holder: Holder) -> State:
         highest, token = state.highest_token, holder.pending_act_token
         if self._parts.fence(highest).admits(token):
             if token < highest:
                 raise BrokenError("fence", f"the resource takes {token} after {highest}")
             highest = token
         return state._replace(
-            holders=replace_item(state.holders, at, holder._replace(pending_act_token=0)),
+            holders=replace_item(state.holders, index, holder._replace(pending_act_token=0)),
             highest_token=highest,
         )
 
@@ -336,9 +336,9 @@
             raise BrokenError("overlap", f"both may act, under {one.token} and {other.token}")
 
 
-def replace_item(items: tuple[T, ...], at: int, item: T) -> tuple[T, ...]:
+def replace_item(items: tuple[T, ...], index: int, item: T) -> tuple[T, ...]:
     """Return the tuple with another item at an index."""
-    return (*items[:at], item, *items[at + 1 :])
+    return (*items[:index], item, *items[index + 1 :])
 
 
 def command_label(command: Command) -> str:
@@ -382,13 +382,13 @@
 
 def trace_to(predecessors: dict[State, tuple[State | None, str]], state: State) -> list[str]:
     """Return the labels of the steps that lead from the initial state to a state."""
-    labels, at = list[str](), state
+    labels, current = list[str](), state
     while True:
-        before, label = predecessors[at]
+        before, label = predecessors[current]
         if before is None:
             return labels[::-1]
         labels.append(label)
-        at = before
+        current = before
 
 
 # Models that are explored in less than a minute.
