--- a/fleetlab/sim/quorum/campaigns.py
+++ b/fleetlab/sim/quorum/campaigns.py
@@ -27,7 +27,7 @@
 def run_campaign(seeds: range, jobs: int) -> CampaignResult:
     """Run the schedules of some seeds in several processes."""
     total = CampaignResult()
-    chunks = [seeds[at : at + SCHEDULES_PER_TASK] for at in range(0, len(seeds), SCHEDULES_PER_TASK)]
+    chunks = [seeds[start : start + SCHEDULES_PER_TASK] for start in range(0, len(seeds), SCHEDULES_PER_TASK)]
     with ProcessPoolExecutor(jobs) as pool:
         for result in pool.map(run_schedules, chunks):
             total.schedules += result.schedules
--- a/fleetlab/sim/quorum/judge.py
+++ b/fleetlab/sim/quorum/judge.py
@@ -44,7 +44,7 @@
         self.operations: dict[str, list[Operation]] = defaultdict(list)
         self.initial_versions: dict[str, int] = {}  # of each record, before faults begin
         self._steps = 0
-        self._last_complete: tuple[str, int] | None = None  # leader and term that were checked last
+        self._last_completeness_check: tuple[str, int] | None = None  # leader and term that were checked last
 
     def record_leader(self, term: int, name: str) -> None:
         """Record that a member leads a term."""
@@ -84,9 +84,9 @@
     def _check_complete(self, name: str, raft: Raft) -> None:
         """Check that a leader has every entry that was committed in an older term (paper, figure 3)."""
         log, term = raft.log, raft.term
-        if self._last_complete == (name, term):
+        if self._last_completeness_check == (name, term):
             return
-        self._last_complete = (name, term)
+        self._last_completeness_check = (name, term)
         for index, committed in self.entries.items():
             if self.commit_terms[index] >= term or index <= log.snapshot.index:
                 continue
@@ -97,8 +97,8 @@
     def _check_matching(self, nodes: list[QuorumNode]) -> None:
         """Check that logs which agree on an entry agree on all entries before it."""
         logs = [(node.name, node.core.raft.log) for node in nodes if node.core is not None]
-        for at, (name, log) in enumerate(logs):
-            for other_name, other in logs[at + 1 :]:
+        for position, (name, log) in enumerate(logs):
+            for other_name, other in logs[position + 1 :]:
                 first_common = max(log.first_index, other.first_index)
                 have_agreed = False
                 for index in range(min(log.last_index, other.last_index), first_common - 1, -1):
