--- a/fleetlab/sim/members.py
+++ b/fleetlab/sim/members.py
@@ -92,9 +92,8 @@
         self.lost_members: dict[str, LostMember] = {}
         # True time in µs, the member that declared a failure, and the healthy member that it declared failed.
         self.false_alarms: list[tuple[int, str, str]] = []
-        self.excused_members: set[str] = (
-            set()
-        )  # slow or cut off at some time; no false alarms are counted for them
+        # Members that were slow or cut off at some time: false alarms by or about them are not counted.
+        self.excused_members: set[str] = set()
         self.sent: Counter[str] = Counter()  # messages by type
         self.sent_updates: dict[str, int] = defaultdict(int)  # updates in messages, by the message's type
 
@@ -151,7 +150,7 @@
     def run_intermittently(
         self, name: str, share: float, seconds: float, tick_us: int = 2 * SECOND_US
     ) -> None:
-        """Let a member run only for a share of each tick for some seconds, and excuse its alarms."""
+        """Let a member run only for a share of each tick for some seconds, and excuse it from alarms."""
         self.excused_members.add(name)
         until_us = self.world.now_us + int(seconds * SECOND_US)
 
