--- a/fleetlab/sim/settled.py
+++ b/fleetlab/sim/settled.py
@@ -16,9 +16,8 @@
 
 ZONES = ("east-1", "east-2", "east-3", "west-1", "west-2")
 NAME_FORMAT = "relay-{:04}:7946"  # as long as a real address, for realistic message sizes
-FIRST_GENERATION = (
-    1_760_000_000_000  # real generations are wall-clock times in ms, and are encoded in as many bytes
-)
+# Real generations are wall-clock times in ms; one of that size is encoded in as many bytes.
+FIRST_GENERATION = 1_760_000_000_000
 FLEET_HASH = wire.hash_fleet_name("fleet")
 LOSS_RATE = 0.01  # share of datagrams that are lost
 
@@ -72,9 +71,8 @@
             node.run_step(lambda core, now_us: self._settle_member(core, now_us, data))
 
     def _settle_member(self, core: MembershipCore, now_us: int, data: bytes) -> list[Output]:
-        view = wire.decode(
-            FLEET_HASH, data
-        )  # decoded for each, as members in separate processes share no objects
+        # Decoded for each member, as members in separate processes share no objects.
+        view = wire.decode(FLEET_HASH, data)
         assert isinstance(core, SettledMember)
         assert isinstance(view, Exchange)
         core.settle(now_us, view)
