--- a/tools/cost/scenarios.py
+++ b/tools/cost/scenarios.py
@@ -39,8 +39,8 @@
         await play.world.add_host(f"h{number:03d}", play.delivering_reply(), block=1 + number % dests)
     await play.world.start_relay()
     warm_up_ids = message_ids("warm", 3 * min(dests, 10))
-    for number, name in enumerate(warm_up_ids):
-        await play.send_messages([name], 0.0, dests=[1 + number % dests])
+    for number, ref in enumerate(warm_up_ids):
+        await play.send_messages([ref], 0.0, dests=[1 + number % dests])
     await play.wait_until_ended(warm_up_ids)
 
 
@@ -118,11 +118,11 @@
     client = (await play.open_clients(1))[0]
     refs = message_ids("c", CUT_MESSAGES)
     await play.begin_window()
-    for name in refs:
-        words = (b"ENQUEUE", b"0" * 16, name.encode(), b"c=safe,t=a,d=30000,dest=1", b"x" * CUT_BODY_BYTES)
+    for ref in refs:
+        words = (b"ENQUEUE", b"0" * 16, ref.encode(), b"c=safe,t=a,d=30000,dest=1", b"x" * CUT_BODY_BYTES)
         data = encode_command(*words)
-        for at in range(len(data)):
-            client.writer.write(data[at : at + 1])
+        for index in range(len(data)):
+            client.writer.write(data[index : index + 1])
             await asyncio.sleep(0)  # so that each byte is written by itself
         await client.reader.readline()
     await play.wait_until_ended(refs)
@@ -144,8 +144,8 @@
 async def replay(play: Play) -> None:
     """A start with a journal that is as full as the relay lets it become."""
     journal = Journal(play.world.state_folder, int(play.world.disk_mb * 1_000_000))
-    now_us = 4_000_000_000_000_000  # far in the future, so that no deadline has passed
-    fields = {"dest": 1, "cls": "safe", "deadline_us": now_us, "tenant": "t", "order": "", "key": ""}
+    deadline_us = 4_000_000_000_000_000  # far in the future, so that no deadline has passed
+    fields = {"dest": 1, "cls": "safe", "deadline_us": deadline_us, "tenant": "t", "order": "", "key": ""}
     number = 0
     try:
         while True:
