--- a/tools/cost/table.py
+++ b/tools/cost/table.py
@@ -45,7 +45,7 @@
 
 
 def format_number(value: float) -> str:
-    """Format a number to three significant digits, or whole from 100: runs are no more precise than that."""
+    """Format a number to three significant digits, or whole from 100; runs are not more precise."""
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
