--- a/fleetlab/scenario.py
+++ b/fleetlab/scenario.py
@@ -154,9 +154,8 @@
     fault: list[Fault] = []
     adversary: Adversary | None = None
     program: list[Program] = []
-    passed_socket: bool = (
-        False  # the platform holds the relays' listening sockets, to be able to replace them
-    )
+    # Whether the platform holds the relays' listening sockets, to be able to replace the relays.
+    passed_socket: bool = False
     sockets: int = 1024  # open files of each relay
     memory_mb: int = 192  # of each relay
     disk_mb: float = 3.0  # of each relay
--- a/fleetlab/sim/quorum/plan.py
+++ b/fleetlab/sim/quorum/plan.py
@@ -52,9 +52,8 @@
     changes_membership: bool = False
     narrow_elections: bool = False  # use NARROW_TIMING
     fault_kinds: tuple[str, ...] = ()  # empty: all
-    crash_after_step_rate: float = (
-        0.0  # probability that a machine crashes right after a step that sent something
-    )
+    # Probability that a machine crashes right after a step that sent something.
+    crash_after_step_rate: float = 0.0
 
 
 def draw_plan(seed: int) -> Plan:
--- a/quorum/client.py
+++ b/quorum/client.py
@@ -97,9 +97,8 @@
                 return TimedResponse(response, timing.lease_start_us)
             repeated |= not isinstance(response, Elsewhere)
             if response is None:
-                try_s = min(
-                    2 * try_s, MAX_TRY_S
-                )  # the member may be slow; frequent repeats slow it down further
+                # The member may be slow; frequent repeats slow it down further.
+                try_s = min(2 * try_s, MAX_TRY_S)
             if isinstance(response, Elsewhere) and response.leader in self._members:
                 is_new_leader = self._leader != response.leader
                 self._leader = response.leader
--- a/relay/admin.py
+++ b/relay/admin.py
@@ -230,9 +230,8 @@
     """Listens for operators."""
 
     def __init__(self) -> None:
-        self.handler: RequestHandler | None = (
-            None  # None until the relay is ready: calls are answered with 503
-        )
+        # None until the relay is ready: calls are answered with 503.
+        self.handler: RequestHandler | None = None
         # Least recently active first.
         self.connections: OrderedDict[OperatorConnection, None] = OrderedDict()
         self.listeners: list[Listener] = []  # this process's own address first
--- a/relay/config.py
+++ b/relay/config.py
@@ -39,9 +39,8 @@
     memory_bytes: int
     initial_hosts: DirectoryUpdate
     admin: Address | None = None  # the operators' address; None: operators are not served
-    passed_socket: int | None = (
-        None  # descriptor of the clients' listening socket; None: listen at ``listen``
-    )
+    # Descriptor of the clients' listening socket; None: listen at ``listen``.
+    passed_socket: int | None = None
     shared_dir: Path = Path()  # for files that processes of this relay share and that may be lost after them
 
 
--- a/tests/quorum/test_core.py
+++ b/tests/quorum/test_core.py
@@ -162,9 +162,8 @@
     cluster.unreachable = {"m0", "m1"}
     cluster.now_us += 1_000
     cluster.wake("m4")
-    cluster.deliver(
-        lambda sender, to, message: not isinstance(message, AppendEntries)
-    )  # no other member gets its entry
+    # No other member gets its entry.
+    cluster.deliver(lambda sender, to, message: not isinstance(message, AppendEntries))
     assert cluster.members["m4"].raft.role is Role.LEADER
     cluster.unreachable = {"m3", "m4"}
     for name in ("m0", "m1"):
@@ -262,9 +261,8 @@
         incarnations.record_message("m1", VoteResponse(5, True))
         incarnations.record_message("m1", AppendResponse(5, True, 9, 1))
         reasons.append(incarnations.rejection_reason("m1", second, claim))
-        reasons.append(
-            incarnations.rejection_reason("m1", Incarnation("f", 3, "c"), accepted_claims[0])
-        )  # shunned from now on
+        # Shunned from now on.
+        reasons.append(incarnations.rejection_reason("m1", Incarnation("f", 3, "c"), accepted_claims[0]))
     registry = parts.registry("m0", {"m1": second})
     rejected = (first, Incarnation("f", 2, "twin"), Incarnation("other", 1, "x"))
     reasons += [registry.rejection_reason("m1", life, accepted_claims[0]) for life in rejected]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -351,9 +351,8 @@
     await client.submit("m5", cls)
     await replaceable.wait_figure(f"requests.{cls}.served", 2)
     replaceable.admin_port = replaceable.free_port()
-    with socket.create_server(
-        (replaceable.address, replaceable.admin_port)
-    ):  # the new process waits for this address
+    # The new process waits for this address.
+    with socket.create_server((replaceable.address, replaceable.admin_port)):
         await replaceable.spawn()
         await asyncio.sleep(max(0.0, hung_s + 3.1 - asyncio.get_running_loop().time()))
     hung = {ref: request for request in host.requests for ref in request.refs if ref in refs}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -254,9 +254,8 @@
     host = await world.add_host("h1", listens=False)
     client = await world.start_relay()
     assert await client.submit("m1", "unsafe") == b"+OK"
-    await asyncio.sleep(
-        0.05
-    )  # time for a first attempt, which is refused; without one the test still holds but shows less
+    # Time for a first attempt, which is refused; without one the test still holds but shows less.
+    await asyncio.sleep(0.05)
     await host.start()
     assert (await host.wait_request(0)).refs == ["m1"]
 
