--- a/decisions/engine.py
+++ b/decisions/engine.py
@@ -373,9 +373,8 @@
                     max(rate, limiter.advertised_rate / MAX_RATE_CHANGE_FACTOR),
                     limiter.advertised_rate * MAX_RATE_CHANGE_FACTOR,
                 )
-            if (
-                not limiter.advertised_rate
-            ):  # a first guess: what the group's equal parts leave to one that is busy
+            # A first guess: a busy relay may use what the others leave of their equal parts.
+            if not limiter.advertised_rate:
                 limiter.allowed_rate, limiter.allowed_rate_at_us = (
                     rate * min(1.0, 2 / self.settings.group_size**0.5),
                     self.now_us,
@@ -518,8 +517,9 @@
     def _cancel_lone_hangs(self) -> None:
         """Give up overdue calls at endpoints that have answered calls sent later.
 
-        Such a hang is the connection's and says nothing of the endpoint, while other messages wait for the
-        slot. All messages of a call are cancelled together, since each is out as long as its call is.
+        Such a hang is a fault of the connection and says nothing about the endpoint, while other messages
+        wait for the slot. All messages of a call are cancelled together, since each is out as long as its
+        call is.
         """
         for endpoint in self.busy_endpoints.values():
             for call in endpoint.calls:
@@ -552,9 +552,8 @@
         if message is None or (call := message.open_calls.pop(event.attempt, None)) is None:
             return
         if call.given_up and event.verdict is Verdict.CANCELLED:
-            event = replace(
-                event, verdict=Verdict.TIMEOUT
-            )  # cancelled for hanging: counts as an early time-out
+            # Cancelled for hanging: counts as an early time-out.
+            event = replace(event, verdict=Verdict.TIMEOUT)
         endpoint, verdict = call.endpoint, event.verdict
         self._mark_for_check(message.dest)
         endpoint.rate_limiter.told_wait_until_us = max(
@@ -592,9 +591,8 @@
                 self.key_cooldown_until_us[message.key] = self.now_us + self.settings.order_pause_us
         if event.complete or message.done:
             self._close(message)
-        elif (
-            not message.open_calls
-        ):  # held again; one that may not be repeated is answered after the whole batch
+        elif not message.open_calls:
+            # Held again; a message that may not be repeated is answered after the whole batch.
             self._hold(message)
 
     def _update_statistics(self, call: Call, message: Message, event: Outcome) -> None:
@@ -714,8 +712,8 @@
             self.now_us - limiter.last_success_us < COLD_RETURN_GAP_US,
         )
         if event.connections_full or (served_lately and verdict is Verdict.CONNECT_FAILED):
-            # A connection limit, by the endpoint's word or as other calls are served there: fewer calls at
-            # once, and no failure is counted.
+            # A connection limit, as the endpoint says so or as other calls are served there: fewer calls at
+            # once from now on, and no failure is counted.
             endpoint.connection_cap, endpoint.connection_cap_at_us = (
                 min(self._max_connections(endpoint), max(1, call.calls_beside)),
                 self.now_us,
@@ -782,7 +780,7 @@
             limiter.pause_until_us = max(
                 limiter.pause_until_us, start_us + int(gap_us * self.rng.uniform(0.3, 1.3))
             )
-        else:  # spread: else all relays that were told to wait would come back at once
+        else:  # spread over time, or else all relays that were told to wait come back at once
             limiter.pause_until_us = max(
                 limiter.pause_until_us, start_us + int((start_us - self.now_us) * self.rng.random())
             )
@@ -884,7 +882,7 @@
     )
 
     def _expire(self) -> None:
-        """Answer held messages whose time or key window allows no call, and the least worthy over the cap."""
+        """Answer held messages whose time or key window allows no call, and the worst ones over the cap."""
         while self.expiry_heap and self.expiry_heap[0][0] <= self.now_us:
             message = self.messages.get(heapq.heappop(self.expiry_heap)[2])
             if message is not None and message.queue_position:  # what a call takes may have changed since
@@ -1045,9 +1043,8 @@
         """The deadlines (us) between which a score of the class only rises or only falls, now."""
         at_us, late_us = self.now_us + self._class_stats(cls).mean_us, cls.deadline_us - cls.aim_us
         breakpoints = [at_us, at_us + late_us]
-        if (
-            self.settings.late_worth_halves and 0 < cls.late_worth < 1
-        ):  # where worth has come down to the minimum
+        if self.settings.late_worth_halves and 0 < cls.late_worth < 1:
+            # Where worth has come down to the minimum.
             breakpoints.append(at_us + late_us + max(1, cls.aim_us) * math.log2(cls.late_worth))
         return breakpoints + [at + URGENCY_HORIZON_US for at in breakpoints]
 
@@ -1103,13 +1100,14 @@
         stats, timeout_us = self._call_stats(message, endpoint), message.deadline_us - self.now_us
         overdue_us = stats.mean_us + OVERDUE_DEVIATIONS * max(stats.deviation_us, stats.mean_us / 2)
         if message.cls.effect is not Effect.UNSAFE:
-            # One that joined late and answered nothing yet may be cold: others' latency says little of it.
+            # An endpoint that joined late and has answered nothing yet may be cold: the latency of other
+            # endpoints says little about it.
             min_us = (
                 message.cls.aim_us if endpoint.joined_late and endpoint.own_limiter.last_success_us < 0 else 0
             )
             usual_us = int(REPEATABLE_TIMEOUT_OVERDUES * overdue_us) << min(message.timeouts, 8)
             timeout_us = min(timeout_us, max(min_us, usual_us))
-        else:  # one that times out is lost; but one that hangs keeps a slot and a connection from others
+        else:  # a message that times out is lost; but one that hangs keeps a slot and a connection
             timeout_us = min(timeout_us, max(message.cls.aim_us, int(UNSAFE_TIMEOUT_OVERDUES * overdue_us)))
         if (call := opened.get(endpoint.host)) is None or call.message_count >= endpoint.kind.batch_size:
             if (idle_us := self.now_us - (endpoint.last_call_end_us or self.now_us)) > self.trusted_idle_us:
@@ -1120,9 +1118,8 @@
             self.busy_endpoints[endpoint.host] = endpoint
             self.calls_out += 1
             if (rate := self._grown_allowed_rate(rate_limiter := endpoint.rate_limiter)) < math.inf:
-                gap_us = int(
-                    1e6 / rate * self.rng.uniform(0.5, 1.5)
-                )  # random, so that relays do not call together
+                # Random, so that the relays do not call together.
+                gap_us = int(1e6 / rate * self.rng.uniform(0.5, 1.5))
                 rate_limiter.pause_until_us = (
                     max(rate_limiter.pause_until_us, self.now_us - MAX_BURST_US) + gap_us
                 )
--- a/decisions/simulator_adapter.py
+++ b/decisions/simulator_adapter.py
@@ -132,14 +132,14 @@
 
 def parse_settings(pairs: Fields) -> api.Settings:
     """The settings of one relay; unknown names are ignored."""
-    apart, batch_sizes = (
+    own_limits, batch_sizes = (
         split_list(pairs, "domain.kind_apart"),
         parse_float_list(pairs, "domain.batch_by_kind"),
     )
     kinds = tuple(
         api.DestinationKind(
             name,
-            apart[index : index + 1] == ["true"],
+            own_limits[index : index + 1] == ["true"],
             int(batch_sizes[index]) if index < len(batch_sizes) else 1,
         )
         for index, name in enumerate(split_list(pairs, "machine_types"))
