--- a/relay/__main__.py
+++ b/relay/__main__.py
@@ -203,18 +203,18 @@
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    moved = asyncio.Event()  # a SIGHUP that came before this process was the relay
-    loop.add_signal_handler(signal.SIGHUP, moved.set)
+    reload_requested = asyncio.Event()  # by a SIGHUP that came before this process was the relay
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     service = Service(cfg)
     start = loop.create_task(service.start())
-    ending = loop.create_task(terminated.wait())
-    await asyncio.wait({start, ending}, return_when=asyncio.FIRST_COMPLETED)
+    termination = loop.create_task(terminated.wait())
+    await asyncio.wait({start, termination}, return_when=asyncio.FIRST_COMPLETED)
     if not start.done() and not service.lock.claimed:  # another process is still the relay
         start.cancel()
         return 0
     await start  # clients that were taken over are served before a shutdown
     loop.add_signal_handler(signal.SIGHUP, reload_discovery, service.driver)
-    if moved.is_set():
+    if reload_requested.is_set():
         reload_discovery(service.driver)
     LOG.info("%s serves at %s:%d", cfg.name, *cfg.listen)
     LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.max_sockets)
@@ -248,7 +248,7 @@
     await terminated.wait()
     LOG.info("SIGTERM: shutting down")
     driver, server = service.driver, service.server
-    service.handover_server.close()  # without a handover by now, the journal passes messages on
+    service.handover_server.close()  # from now on only the journal passes messages on
     start_s = asyncio.get_running_loop().time()
     driver.set_shutdown_deadline(start_s + EXIT_AFTER_SIGTERM_S)
     await until(
--- a/relay/driver.py
+++ b/relay/driver.py
@@ -46,7 +46,7 @@
 
 
 class Clock:
-    """Wall-clock time that never jumps during one life; journaled deadlines and attempts use it.
+    """Wall-clock time that never jumps during one life of the relay; journaled deadlines and attempts use it.
 
     It is the monotonic clock plus an offset, which is fixed at the start or taken over from another process.
     """
--- a/relay/endpoint_calls.py
+++ b/relay/endpoint_calls.py
@@ -70,7 +70,7 @@
         max_idle: int,
         on_settled: SettledCallback,
     ) -> None:
-        # Kept because asyncio.get_running_loop() makes a system call for the process id each time.
+        # Stored because asyncio.get_running_loop() makes a system call for the process id each time.
         self._loop = asyncio.get_running_loop()
         self._kinds = {kind.name: kind for kind in kinds}
         self._connect_timeout_s = connect_timeout_us / 1e6
@@ -130,8 +130,8 @@
     def _route_of(self, host: str) -> str:
         """Return the key for waits: the destination, or the host itself if its kind limits each endpoint."""
         listed = self.endpoints.get(host)
-        apart = listed is None or self._kind_of(listed).limit_per_endpoint
-        return host if listed is None or apart else f"dest {listed.entry.dest}"
+        has_own_limit = listed is None or self._kind_of(listed).limit_per_endpoint
+        return host if listed is None or has_own_limit else f"dest {listed.entry.dest}"
 
     def _kind_of(self, listed: ListedEndpoint) -> DestinationKind:
         return self._kinds.get(listed.entry.kind, DestinationKind(listed.entry.kind))
@@ -149,7 +149,7 @@
         }
 
     def restore_waits(self, waits: dict[str, float]) -> None:
-        """Add the waits that another process was asked to keep."""
+        """Add the waits that endpoints asked another process for."""
         for route, until_s in waits.items():
             self._waits_until_s[route] = max(self._waits_until_s.get(route, 0.0), until_s)
 
@@ -170,7 +170,7 @@
     def outcome_if_blocked(self, host: str) -> PartOutcome | None:
         """Return the outcome of a call that may not be written to the host now, or None if it may.
 
-        Waits and list updates that arrived after the call was decided bind it too.
+        Waits and list updates that arrived after the call was decided apply to it too.
         """
         wait_us = self.remaining_wait_us(host)
         if wait_us or not self._accepts_calls(host):
@@ -256,7 +256,7 @@
         return self.endpoints[host].address if host in self.endpoints else ("", 0)
 
     def cancel(self, ref: str, attempt: int) -> None:
-        """Call off one attempt of a message."""
+        """Cancel one attempt of a message."""
         for call in list(self.calls):
             for part in call.open_parts:
                 if (part.id, part.attempt) == (ref, attempt):
@@ -292,8 +292,8 @@
         """Call ``end`` with ``args``, after an answer that has arrived and is not processed yet.
 
         A timer and an answer may fall into one iteration of the loop. If the call were given up then, a
-        delivered message would be reported as timed out, and a requested wait would not be kept. It is put
-        off by one iteration only, as an answer may go on for ever.
+        delivered message would be reported as timed out, and a requested wait would not be kept. The end is
+        put off by one iteration only, as an answer may go on for ever.
         """
         if call.connection is not None and call.connection.read_pending():
             self._loop.call_soon(end, *args)
@@ -307,8 +307,9 @@
     def _handle_overdue_part(self, call: Call, part: Part) -> None:
         """Time out a part whose limit has passed: with its call, or alone while the request is not fixed.
 
-        While the call is in progress for other parts, this message is in progress too. Reported as timed out,
-        it would be sent again in parallel; ended, it could still run. At its own deadline the call ends.
+        While the call is in progress for other parts, this message is in progress too. If it were reported as
+        timed out, it would be sent again in parallel; if it were ended, it could still run. At the message's
+        own deadline the call ends.
         """
         if part.settled:
             return
@@ -408,7 +409,7 @@
         call.connection = connection
         if connection.idle_since_s:
             call.connection_idle_ms = int((time.monotonic() - connection.idle_since_s) * 1000)
-        # While it connected, a wait or a drain may have been announced: it binds this write too.
+        # A wait or a drain may have been announced during the connect: it applies to this write too.
         blocked, now_s = self.outcome_if_blocked(call.host), self._loop.time()
         for part in call.open_parts:
             if blocked is not None or part.send_by_s <= now_s:
@@ -447,7 +448,8 @@
 
     async def _settle_final(self, call: Call, connection: Connection, outcome: PartOutcome) -> bool:
         """Settle messages that will not be sent again by the head of the answer; read the rest afterwards."""
-        # Once this is reported, the next message may be sent to the host and should find the connection.
+        # Once the outcome is reported, the next message may be sent to the host and should find the
+        # connection.
         try:
             is_complete = connection.skip_rest()
             keep = is_complete and self._keep_connection(call.host, connection)
--- a/relay/handover.py
+++ b/relay/handover.py
@@ -1,9 +1,9 @@
 """Handover: replaces the relay's process with another one without losing its state.
 
 The process that holds the lock file is the relay. On request it sends all its state within one callback of
-its event loop, so that nothing changes meanwhile. Until it has sent the last word, ``YOURS``, it can continue
-as if nothing had been requested. The new process uses what it received only after that word and once it holds
-the lock; otherwise it starts from the journal.
+its event loop, so that nothing changes meanwhile. Until it has sent the final message, ``YOURS``, it can
+continue as if nothing had been requested. The new process uses what it received only after that message and
+once it holds the lock; otherwise it starts from the journal.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
 
 
 def send_payload(sock: socket.socket, payload: HandoverPayload) -> None:
-    """Send everything; raises ``OSError`` where the other process did not take it: nothing changed then."""
+    """Send everything; raises ``OSError`` where the other process did not take it; nothing changed then."""
     sock.settimeout(TRANSFER_TIMEOUT_S)
     state = json.dumps(payload.any_version_state).encode()
     sizes = {"told": len(state), "memory": len(payload.pickled_state), "fds": len(payload.fds)}
@@ -127,7 +127,7 @@
 
 
 def receive_payload(sock: socket.socket, sizes: dict[str, int]) -> ReceivedHandover:
-    """Receive everything up to the last word; raises ``OSError`` where the other process stays the relay."""
+    """Receive all up to the final message; raises ``OSError`` where the other process stays the relay."""
     sock.settimeout(TRANSFER_TIMEOUT_S)
     data, sockets = bytearray(), list[socket.socket]()
     try:
@@ -140,7 +140,7 @@
                 raise ConnectionResetError("the other process sent fewer descriptors than announced")
         sock.send(TAKEN)
         if receive_chunk(sock) != YOURS:
-            raise ConnectionResetError("the other process did not end the transfer with its last word")
+            raise ConnectionResetError("the other process did not send the final message of the transfer")
     except OSError:
         for received in sockets:
             received.close()
@@ -176,7 +176,7 @@
     while not lock.try_acquire():
         if (received := await request_handover(path, layout)) is not None:
             lock.claimed = True
-            while not lock.try_acquire():  # the old process releases it right after its last word
+            while not lock.try_acquire():  # the old process releases it right after its final message
                 await asyncio.sleep(0)
             return received
         await asyncio.sleep(LOCK_POLL_S)
