--- a/tests/lab/test_planted_bugs.py
+++ b/tests/lab/test_planted_bugs.py
@@ -34,7 +34,7 @@
 
 
 def play_with_bug(bug: str, folder: Path) -> tuple[int, dict[str, Any]]:
-    """Run the plain relay's scenario with a bug, '' for none; return exit code and result."""
+    """Run the scripted relay's scenario with a bug, '' for none; return exit code and result."""
     path = folder / f"day-{bug}.toml"
     path.write_text(f'bug = "{bug}"\n' + PLAIN_SCENARIO.read_text())
     process = run_lab("run", str(path), "--out", str(folder / f"run-{bug}"), "--json")
@@ -44,7 +44,7 @@
 
 @pytest.fixture(scope="module")
 def runs_by_bug(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[int, dict[str, Any], Path]]:
-    """Exit code, result and folder of the plain relay's run, by bug or '' for none; four labs run at once."""
+    """Exit code, result and folder of the scripted relay's run, by bug or '' for none; four labs at once."""
     folder = tmp_path_factory.mktemp("days")
     with ThreadPoolExecutor(4) as pool:
         results = pool.map(lambda bug: play_with_bug(bug, folder), ("", *BUGS))
