--- a/fleetlab/scale/command.py
+++ b/fleetlab/scale/command.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab scale``: measure how cost grows with size, fit it, compare with an earlier report."""
+"""``python -m fleetlab scale``: measure how cost grows with size, fit the growth, compare reports."""
 
 from __future__ import annotations
 
@@ -10,32 +10,38 @@
 from rich.table import Table
 
 from fleetlab.scale import machine
-from fleetlab.scale.fit import slopes
+from fleetlab.scale.fit import fit_figures
 from fleetlab.scale.records import Sample, ScaleError, ScaleReport
 from fleetlab.scale.registry import SUBJECTS
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.worker import measured
+from fleetlab.scale.worker import measure_in_process
 
-MOST_SIZES = 16
+MAX_SIZES = 16
 
 
-def sizes_of(text: str | None, subject: Subject) -> tuple[int, ...]:
-    """The sizes named between commas, or the subject's own; ``ScaleError`` where one cannot be used."""
+def parse_sizes(text: str | None, subject: Subject) -> tuple[int, ...]:
+    """The sizes in a comma-separated text, ascending; the subject's own without a text.
+
+    Raises ``ScaleError`` for anything but whole numbers, and for more than ``MAX_SIZES`` sizes.
+    """
     if text is None:
         return subject.sizes
     try:
         sizes = tuple(sorted({int(item) for item in text.split(",")}))
     except ValueError:
         raise ScaleError(f"--sizes: not whole numbers between commas: {text!r}") from None
-    if len(sizes) > MOST_SIZES:
-        raise ScaleError(f"--sizes: {len(sizes)} sizes, {MOST_SIZES} at most")
+    if len(sizes) > MAX_SIZES:
+        raise ScaleError(f"--sizes: {len(sizes)} sizes, {MAX_SIZES} at most")
     return sizes
 
 
-def play(subject: Subject, sizes: Sequence[int], seed: int, say: Callable[[str], None]) -> ScaleReport:
-    """Measure each size in turn, in a process of its own.
+def measure_sizes(
+    subject: Subject, sizes: Sequence[int], seed: int, say: Callable[[str], None]
+) -> ScaleReport:
+    """Measure each size in turn, each in a process of its own.
 
-    A wrong size is refused before anything runs. A size that fails or takes too long is left out and named.
+    All sizes are checked before the first runs (``ScaleError``). A size whose measurement fails or times out
+    is listed in the report's ``left_out`` with the reason.
     """
     machine_bytes = machine.memory_bytes()
     for size in sizes:
@@ -45,16 +51,16 @@
     for size in sizes:
         say(f"{subject.name}: {size} {subject.axis}")
         try:
-            samples.append(measured(subject, size, seed))
+            samples.append(measure_in_process(subject, size, seed))
         except ScaleError as error:
             left_out.append(str(error))
             say(str(error))
-    fits = slopes(samples, subject.target)
+    fits = fit_figures(samples, subject.target)
     return ScaleReport(subject.name, subject.about, subject.axis, tuple(samples), fits, tuple(left_out))
 
 
-def show(report: ScaleReport, console: Console) -> None:
-    """Print the readings by size, and the fit of each figure."""
+def print_report(report: ScaleReport, console: Console) -> None:
+    """Print the readings by size, the fit of each figure, and the sizes left out."""
     console.print(readings_table(report))
     console.print(fits_table(report))
     for reason in report.left_out:
@@ -74,7 +80,7 @@
 
 
 def fits_table(report: ScaleReport) -> Table:
-    """A row for each figure: how it grows, and what it comes to at the target."""
+    """A row for each figure: how it grows with size, and its value at the target size."""
     table = Table(title="fits")
     table.add_column("figure", no_wrap=True)
     for name in ("slope", "exponent", "error", "at target", "extrapolated by"):
@@ -91,8 +97,8 @@
     return table
 
 
-def compare(before: ScaleReport, after: ScaleReport, console: Console) -> None:
-    """Print the readings of two reports side by side, size by size."""
+def print_comparison(before: ScaleReport, after: ScaleReport, console: Console) -> None:
+    """Print the readings of two reports side by side; ``ScaleError`` if their subjects differ."""
     if before.subject != after.subject:
         raise ScaleError(f"--against: a report on {before.subject}, not on {after.subject}")
     earlier = {(s.size, r.figure): r.value for s in before.samples for r in s.readings}
@@ -101,15 +107,15 @@
         table.add_column(name, justify="left" if name == "figure" else "right")
     for sample in after.samples:
         for reading in sample.readings:
-            value = earlier.get((sample.size, reading.figure))
-            ratio = f"{reading.value / value:.3g}" if value else ""
-            was = "" if value is None else f"{value:g}"
-            table.add_row(str(sample.size), reading.figure, was, f"{reading.value:g}", ratio)
+            earlier_value = earlier.get((sample.size, reading.figure))
+            ratio = f"{reading.value / earlier_value:.3g}" if earlier_value else ""
+            earlier_text = "" if earlier_value is None else f"{earlier_value:g}"
+            table.add_row(str(sample.size), reading.figure, earlier_text, f"{reading.value:g}", ratio)
     console.print(table)
 
 
 def load_report(path: Path) -> ScaleReport:
-    """An earlier report; ``ScaleError`` where it cannot be read."""
+    """Read an earlier report; ``ScaleError`` if the file cannot be read or decoded."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=ScaleReport)
     except (OSError, msgspec.DecodeError) as error:
@@ -117,7 +123,7 @@
 
 
 def list_subjects(console: Console) -> None:
-    """Print what can be measured."""
+    """Print each subject with its description, its axis and its default sizes."""
     for subject in SUBJECTS.values():
         sizes = ", ".join(str(size) for size in subject.sizes)
         console.print(f"{subject.name:16} {subject.about}; {subject.axis}: {sizes}", soft_wrap=True)
--- a/fleetlab/scale/replay.py
+++ b/fleetlab/scale/replay.py
@@ -1,4 +1,4 @@
-"""``python -m fleetlab.scale.replay FOLDER DISK_BYTES``: a start over a journal, in its own process."""
+"""``python -m fleetlab.scale.replay FOLDER DISK_BYTES``: start a relay from a journal, and measure it."""
 
 from __future__ import annotations
 
@@ -10,77 +10,81 @@
 
 import msgspec
 
-from fleetlab.scale.held_load import DOWN, settings
+from fleetlab.scale.held_load import DOWN_COUNT, make_settings
 from fleetlab.scale.process import resident_bytes
 from fleetlab.scale.records import ScaleError
-from mallowlug.config import Config
-from mallowlug.cost import memory_of
-from mallowlug.host_list import HostList
-from mallowlug.journal import Journal
-from mallowlug.relay import Driver
+from relay.config import Config
+from relay.driver import Driver
+from relay.endpoint_list import DirectoryUpdate
+from relay.journal import Journal
+from relay.resource_usage import read_memory_bytes
 
-NOWHERE = ("127.0.0.1", 9)  # nobody is called: the loop does not turn
-ROOM = 1_000_000  # messages more than recovered, which a relay may hold
-MOST_SECONDS = 110.0
+# No connection is opened, because the event loop gets no iteration after the start.
+UNUSED_ADDRESS = ("127.0.0.1", 9)
+SPARE_MESSAGES = 1_000_000  # messages that the relay may hold beyond the recovered ones
+TIMEOUT_S = 110.0  # for the process that replays
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """What a start over a journal took."""
+    """What it took to start a relay from a journal."""
 
-    recovered: int  # messages in the journal
+    recovered: int  # messages read from the journal
     held: int  # messages that the relay holds after its start
     journal_seconds: float  # to read the journal
-    take_up_seconds: float  # to give its messages to the relay and the module, in one turn of the loop
-    before_bytes: int  # resident, before the journal was opened
-    peak_bytes: int  # the most that was resident, until the journal was read
-    after_bytes: int  # resident, with all taken up
+    take_up_seconds: float  # for the driver to restore the messages, in one iteration of the event loop
+    before_bytes: int  # resident memory before the journal was opened
+    peak_bytes: int  # peak resident memory until the journal was read
+    after_bytes: int  # resident memory with all messages restored
 
 
-def config(folder: Path, disk_bytes: int, messages: int) -> Config:
-    """A relay that may hold them all, with no endpoint listed."""
+def make_config(folder: Path, disk_bytes: int, messages: int) -> Config:
+    """Configuration of a relay that may hold all these messages, with an empty endpoint list."""
     return Config(
         name="relay",
-        listen=NOWHERE,
-        discovery=NOWHERE,
-        state=folder,
+        listen=UNUSED_ADDRESS,
+        discovery=UNUSED_ADDRESS,
+        state_dir=folder,
         seed=1,
-        settings=settings(hold_cap=messages + ROOM),
+        settings=make_settings(hold_cap=messages + SPARE_MESSAGES),
         connect_timeout_us=1_000_000,
         disk_bytes=disk_bytes,
-        sockets=4 * DOWN,
+        max_sockets=4 * DOWN_COUNT,
         memory_bytes=1 << 40,
-        known=HostList(0, True, ()),
+        initial_hosts=DirectoryUpdate(0, True, ()),
     )
 
 
-async def replay(folder: Path, disk_bytes: int) -> Replay:
-    """Start the relay's own parts; they are closed before the loop turns, so nobody is called."""
+async def measure_replay(folder: Path, disk_bytes: int) -> Replay:
+    """Start a journal and a driver, and close them before the event loop can make a call."""
     before_bytes, begun_s = resident_bytes(), time.monotonic()
     journal = Journal(folder, disk_bytes)
     journal_s = time.monotonic() - begun_s
-    peak_bytes, recovered = memory_of(Path("/proc/self"))["VmHWM"], len(journal.recovered)
-    driver = Driver(config(folder, disk_bytes, recovered), journal, _broken)
+    peak_bytes, recovered = read_memory_bytes(Path("/proc/self"))["VmHWM"], len(journal.recovered)
+    driver = Driver(make_config(folder, disk_bytes, recovered), journal, _raise_error)
     begun_s = time.monotonic()
     driver.start()
-    take_up_s = time.monotonic() - begun_s
-    held, after_bytes = driver.figures.in_flight, resident_bytes()
+    restore_s = time.monotonic() - begun_s
+    held, after_bytes = driver.stats.in_flight, resident_bytes()
     driver.close()
-    return Replay(recovered, held, journal_s, take_up_s, before_bytes, peak_bytes, after_bytes)
+    return Replay(recovered, held, journal_s, restore_s, before_bytes, peak_bytes, after_bytes)
 
 
-def _broken(error: BaseException) -> None:
+def _raise_error(error: BaseException) -> None:
     raise error
 
 
-def replayed(folder: Path, disk_bytes: int) -> Replay:
-    """The same in a fresh process, whose memory is its own; ``ScaleError`` where it fails."""
+def replay_in_process(folder: Path, disk_bytes: int) -> Replay:
+    """``measure_replay`` in a new process, so that its memory is not mixed with this one's.
+
+    Raises ``ScaleError`` if the process fails or exceeds ``TIMEOUT_S``.
+    """
     command = [sys.executable, "-m", "fleetlab.scale.replay", str(folder), str(disk_bytes)]
     try:
-        done = subprocess.run(command, capture_output=True, timeout=MOST_SECONDS, check=True)
+        done = subprocess.run(command, capture_output=True, timeout=TIMEOUT_S, check=True)
     except (subprocess.TimeoutExpired, subprocess.CalledProcessError) as error:
         raise ScaleError(f"replay of {folder}: {error}") from None
     return msgspec.json.decode(done.stdout, type=Replay)
 
 
 if __name__ == "__main__":
-    print(msgspec.json.encode(asyncio.run(replay(Path(sys.argv[1]), int(sys.argv[2])))).decode())
+    print(msgspec.json.encode(asyncio.run(measure_replay(Path(sys.argv[1]), int(sys.argv[2])))).decode())
--- a/fleetlab/scale/subjects/replay_process.py
+++ b/fleetlab/scale/subjects/replay_process.py
@@ -1,4 +1,4 @@
-"""The real process of a relay, started over a journal that holds a backlog."""
+"""A real relay process that is started from a journal with a backlog."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 from pathlib import Path
 from typing import Any
 
-from fleetlab.scale.held_load import BODY_BYTES, DOWN, SEAT_STATUS, SPREAD, backlog
+from fleetlab.scale.held_load import BODY_BYTES, DOWN_COUNT, EVENLY_SPREAD, SEAT_STATUS, make_backlog
 from fleetlab.scale.records import Reading, Source
 from fleetlab.scale.subject import Subject
-from fleetlab.scale.subjects.backlog import ample_bytes, disk_bytes, fill
-from mallowlug.cost import memory_of
-from mallowlug.journal import Journal
-from mallowlug.relay import BODIES_SHARE
-from standins.scripted import Client, World, settings_json, silent
-
-ENDPOINTS = 20  # that are listed and answer nothing; the other destinations have none
+from fleetlab.scale.subjects.backlog import accept_all, ample_disk_bytes, required_disk_bytes
+from relay.driver import HELD_BODIES_MEMORY_SHARE
+from relay.journal import Journal
+from relay.resource_usage import read_memory_bytes
+from standins.scripted import Client, World, no_answer, settings_json
+
+# Endpoints that are listed and never answer; the other destinations have no endpoint.
+SILENT_ENDPOINTS = 20
 SLOTS = 64
-OPEN_SPARE = 1_000  # messages that the relay may hold beside the backlog
-LEAST_MEMORY_MB = 32
+SPARE_OPEN_MESSAGES = 1_000  # messages that the relay may hold beyond the backlog
+MIN_MEMORY_MB = 32  # of a relay without messages
 BYTES_PER_MESSAGE = 8_000  # upper estimate of memory: the relay and the process that measures
-MB = 1_000_000
-PATIENCE_S = 90.0  # for the first answer
-LOOK_S = 0.01
+BYTES_PER_MB = 1_000_000
+ANSWER_TIMEOUT_S = 90.0  # for the first answer to a client
+POLL_S = 0.01  # between attempts to connect
 
 
 def class_json() -> dict[str, Any]:
-    """The class of the backlog, as a deployment tells it."""
+    """The message class of the backlog, in the format of the settings."""
     return {
         "name": SEAT_STATUS.name,
         "effect": SEAT_STATUS.effect.value,
@@ -42,52 +43,52 @@
     }
 
 
-def configure(world: World, messages: int, disk: int) -> None:
-    """Limits with room for the backlog and little more."""
-    world.settings = settings_json(open_cap=messages + OPEN_SPARE)
+def configure(world: World, messages: int, disk_bytes: int) -> None:
+    """Set limits that are hardly larger than the backlog needs."""
+    world.settings = settings_json(open_cap=messages + SPARE_OPEN_MESSAGES)
     world.settings["request_classes"] = [class_json()]
     world.settings["domain"] |= {"calls_out": SLOTS}
-    world.disk_mb = disk / MB
-    world.memory_mb = LEAST_MEMORY_MB + int(messages * BODY_BYTES / BODIES_SHARE / MB)
+    world.disk_mb = disk_bytes / BYTES_PER_MB
+    world.memory_mb = MIN_MEMORY_MB + int(messages * BODY_BYTES / HELD_BODIES_MEMORY_SHARE / BYTES_PER_MB)
     world.admin_port = world.free_port()
 
 
-async def answered(world: World) -> Client:
-    """A client, once the relay has answered it."""
-    async with asyncio.timeout(PATIENCE_S):
+async def wait_for_answer(world: World) -> Client:
+    """Connect until the relay answers a ``PING``; return the client."""
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         while True:
             try:
                 client = Client(*await asyncio.open_connection(world.address, world.port))
             except OSError:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
                 continue
             if await client.command(b"PING") == b"+PONG":
                 return client
 
 
-async def restarted(folder: Path, size: int, seed: int) -> list[Reading]:
-    """Write the journal as the relay would, start the relay over it, and ask it."""
+async def measure_restart(folder: Path, size: int, seed: int) -> list[Reading]:
+    """Write the journal as a relay would, start a relay from it, and read its figures."""
     world = World(folder)
     await world.start()
     try:
-        messages = list(backlog(size, SPREAD, seed))
-        journal = Journal(world.state, ample_bytes(size))
-        fill(journal, messages)
+        messages = list(make_backlog(size, EVENLY_SPREAD, seed))
+        journal = Journal(world.state_folder, ample_disk_bytes(size))
+        accept_all(journal, messages)
         journal.close()
-        configure(world, size, disk_bytes(messages, journal.written_bytes))
-        for number in range(ENDPOINTS):
-            await world.add(f"h{number:03d}", silent, block=number % DOWN)
+        configure(world, size, required_disk_bytes(messages, journal.written_bytes))
+        for number in range(SILENT_ENDPOINTS):
+            await world.add_host(f"h{number:03d}", no_answer, block=number % DOWN_COUNT)
         begun_s = time.monotonic()
         process = await world.spawn()
-        await answered(world)
+        await wait_for_answer(world)
         pong_s = time.monotonic() - begun_s
-        held = (await world.figures())["in_flight"]
-        memory = memory_of(Path(f"/proc/{process.pid}"))
+        held_messages = (await world.read_figures())["in_flight"]
+        memory = read_memory_bytes(Path(f"/proc/{process.pid}"))
     finally:
         await world.stop()
     return [
         Reading("real_journal_bytes", journal.written_bytes),
-        Reading("real_held_messages", held),
+        Reading("real_held_messages", held_messages),
         Reading("real_pong_seconds", pong_s, Source.TIMED),
         Reading("real_peak_bytes", memory["VmHWM"], Source.TIMED),
         Reading("real_resident_bytes", memory["VmRSS"], Source.TIMED),
@@ -95,9 +96,9 @@
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """One restart in a folder of its own."""
+    """Measure one restart in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="replay-") as folder:
-        return asyncio.run(restarted(Path(folder), size, seed))
+        return asyncio.run(measure_restart(Path(folder), size, seed))
 
 
 SUBJECT = Subject(
--- a/fleetlab/sim/node.py
+++ b/fleetlab/sim/node.py
@@ -1,4 +1,4 @@
-"""A simulated process around a core that takes time and messages and hands back what is to be done."""
+"""A simulated process that runs the steps of a service's core and executes the actions that they return."""
 
 from __future__ import annotations
 
@@ -9,77 +9,82 @@
 
 from fleetlab.sim.world import SimClock, World
 
-CLOCK_OFFSET_US = 10**9  # at the most, at which a monotonic clock begins
+MAX_CLOCK_OFFSET_US = 10**9  # largest initial reading of a monotonic clock, about 17 minutes
 
 
 class Core(Protocol):
-    """A core that runs by itself: when it wants to be woken, and what it does then."""
+    """What a simulated process needs of a core: when to wake it, and its step at that time."""
 
     @property
     def due_us(self) -> int:
-        """When it is to be woken, by its own clock."""
+        """The time at which it wants to be woken, on its own clock."""
 
     def wake(self, now_us: int) -> list[Any]:
-        """What it does at that time."""
+        """Run the steps that are due; returns the actions to execute."""
 
 
 CoreT = TypeVar("CoreT", bound=Core)
 
 
 class SimNode(ABC, Generic[CoreT]):
-    """One process after another under one name: started anew, woken when due, stalled, or ended."""
+    """Successive processes of one name: each can be started, woken when due, stalled, and ended."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.core: CoreT | None = None
-        self.generation = 0  # of starts, from 1
-        self.stalled_until_us = 0
-        self._wake_us = -1  # by its clock, at which it will be woken; none is set below 0
+        self.generation = 0  # number of the current process; the first is 1
+        self.stalled_until_us = 0  # true time; until then steps are delayed
+        self._scheduled_wake_us = -1  # next wake-up on the process's clock; negative: none
 
     @abstractmethod
-    def draw_rate(self) -> float:
-        """How fast the clock of a new life goes; 1 is true time."""
+    def draw_clock_rate(self) -> float:
+        """Return the clock rate of a new process; 1 is that of true time."""
 
     @abstractmethod
     def create_core(self) -> CoreT:
-        """The core of a new life, whose clock is set."""
+        """Return the core of a new process; ``self.clock`` is already set."""
 
     @abstractmethod
-    def carry_out(self, actions: list[Any]) -> None:
-        """Do what the core asked for after a step; it may end this life."""
+    def execute_actions(self, actions: list[Any]) -> None:
+        """Execute the actions that a step returned; this may end the process."""
 
     def start(self) -> None:
-        """A new life, unless one is on. Its clock is another one: monotonic time may begin anew."""
+        """Start a process unless one runs. It has a new clock, as monotonic time may start from any value."""
         if self.core is not None:
             return
         self.generation += 1
-        self.clock = SimClock(self.world, self.draw_rate(), self.world.random.randint(0, CLOCK_OFFSET_US))
+        self.clock = SimClock(
+            self.world, self.draw_clock_rate(), self.world.random.randint(0, MAX_CLOCK_OFFSET_US)
+        )
         self.core = self.create_core()
-        self._arm(self.core)
+        self._schedule_wake(self.core)
 
-    def do(self, step: Callable[[CoreT, int], list[Any]]) -> None:
-        """One step of the core and what follows from it; while stalled, what comes waits in its sockets."""
+    def run_step(self, step: Callable[[CoreT, int], list[Any]]) -> None:
+        """Run one step of the core and execute its actions.
+
+        While the process is stalled the step is delayed, as input would wait in the process's sockets.
+        """
         if self.core is None:
             return
         if self.stalled_until_us > self.world.now_us:
-            self.world.at(self.stalled_until_us, partial(self._do_in, self.generation, step))
+            self.world.call_at(self.stalled_until_us, partial(self._run_step_in, self.generation, step))
             return
-        self.carry_out(step(self.core, self.clock.now_us()))
+        self.execute_actions(step(self.core, self.clock.now_us()))
         if self.core is not None:
-            self._arm(self.core)
+            self._schedule_wake(self.core)
 
-    def _do_in(self, generation: int, step: Callable[[CoreT, int], list[Any]]) -> None:
-        """A step that only the given life takes."""
+    def _run_step_in(self, generation: int, step: Callable[[CoreT, int], list[Any]]) -> None:
+        """Run a delayed step unless the process that it was meant for has ended."""
         if generation == self.generation:
-            self.do(step)
+            self.run_step(step)
 
-    def _arm(self, core: CoreT) -> None:
+    def _schedule_wake(self, core: CoreT) -> None:
         due_us = core.due_us
-        if due_us != self._wake_us:
-            self._wake_us = due_us
-            self.world.at(self.clock.true_us(due_us), partial(self._wake, self.generation, due_us))
+        if due_us != self._scheduled_wake_us:
+            self._scheduled_wake_us = due_us
+            self.world.call_at(self.clock.true_time_us(due_us), partial(self._wake, self.generation, due_us))
 
     def _wake(self, generation: int, due_us: int) -> None:
-        if self.core is not None and generation == self.generation and due_us == self._wake_us:
-            self._wake_us = -1
-            self.do(lambda core, now_us: core.wake(now_us))
+        if self.core is not None and generation == self.generation and due_us == self._scheduled_wake_us:
+            self._scheduled_wake_us = -1
+            self.run_step(lambda core, now_us: core.wake(now_us))
--- a/fleetlab/sim/settled.py
+++ b/fleetlab/sim/settled.py
@@ -1,93 +1,96 @@
-"""A simulated fleet that begins settled, and whose every message passes through the real wire format.
+"""A simulated fleet that starts with agreed views and encodes every message in the real wire format.
 
-Not modelled: the process around the core. It sends at most 8 whole exchanges at once and takes at most 64, so
-that seeds which many ask together leave some out, and those ask again.
+Not modelled is the process around the core: it sends at most 8 exchanges at once and accepts at most 64, so
+seeds that are asked by many members at once reject some, and those ask again.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 
-from fleetlab.sim.members import PeersSim, Plan
-from fleetlab.sim.world import Weather
+from fleetlab.sim.members import MembershipSim, Plan
+from fleetlab.sim.world import NetworkConditions
 from membership import wire
-from membership.core import Held, Peers
-from membership.messages import Changed, Exchange, Message, Out, Update
+from membership.core import MemberRecord, MembershipCore
+from membership.messages import Exchange, Message, Output, StateChanged, Update
 
 ZONES = ("east-1", "east-2", "east-3", "west-1", "west-2")
-NAMES = "relay-{:04}:7946"  # as long as an address
-FIRST_GENERATION = 1_760_000_000_000  # a real one is a wall clock's milliseconds
-FLEET = wire.mark("fleet")
-LOST = 0.01  # share of datagrams
+NAME_FORMAT = "relay-{:04}:7946"  # as long as a real address, for realistic message sizes
+# Real generations are wall-clock times in ms; one of that size is encoded in as many bytes.
+FIRST_GENERATION = 1_760_000_000_000
+FLEET_HASH = wire.hash_fleet_name("fleet")
+LOSS_RATE = 0.01  # share of datagrams that are lost
 
 
-class SettledPeers(Peers):
-    """A member that can begin with a view that was told long ago, and counts the suspicions it looks at."""
+class SettledMember(MembershipCore):
+    """A member that can start with an agreed view, and counts its checks of suspicions."""
 
-    suspicions_looked_at = 0
+    suspicion_checks = 0
 
     def settle(self, now_us: int, view: Exchange) -> None:
-        """Hold a whole view, and pass none of it on."""
+        """Take over a whole view without any of it queued as news for others."""
         self.receive(now_us, view)
-        self._news.clear()
-        self._queue.clear()
-        self._exchange_us = now_us + self._random.randrange(self._settings.exchange_us)
+        self._pending_updates.clear()
+        self._update_queue.clear()
+        self._next_exchange_us = now_us + self._random.randrange(self._settings.exchange_interval_us)
 
-    def _ends_us(self, held: Held) -> int:
-        self.suspicions_looked_at += 1
-        return Peers._ends_us(self, held)  # called for each suspect at each step: without super's own cost
+    def _suspicion_deadline_us(self, held: MemberRecord) -> int:
+        self.suspicion_checks += 1
+        # Called by class name, without the cost of super(): this runs for each suspect in each step.
+        return MembershipCore._suspicion_deadline_us(self, held)
 
 
-class SettledSim(PeersSim):
-    """One run; ``bytes`` counts what is sent, by the name of the message."""
+class SettledSim(MembershipSim):
+    """A simulated run that counts the bytes sent, by type of message and by sender."""
 
-    def __init__(self, seed: int, members: int, core: type[SettledPeers] = SettledPeers) -> None:
-        """All members are up and hold each other to be alive."""
-        weather = Weather(lost=LOST, least_us=200, most_us=3_000)
+    def __init__(self, seed: int, members: int, core: type[SettledMember] = SettledMember) -> None:
+        """Create a fleet in which all members run and consider each other alive."""
+        conditions = NetworkConditions(loss_rate=LOSS_RATE, min_delay_us=200, max_delay_us=3_000)
         super().__init__(
             seed,
             Plan(
                 members,
-                weather=weather,
+                conditions=conditions,
                 core=core,
-                names=NAMES,
+                name_format=NAME_FORMAT,
                 zones=ZONES,
                 first_generation=FIRST_GENERATION,
             ),
         )
-        self.bytes: Counter[str] = Counter()
-        self.bytes_by: Counter[str] = Counter()  # by sender
-        self.changes = 0
-        self._settle()
+        self.bytes_by_type: Counter[str] = Counter()
+        self.bytes_by_sender: Counter[str] = Counter()
+        self.state_changes = 0
+        self._settle_all()
 
-    def _settle(self) -> None:
+    def _settle_all(self) -> None:
         for node in self.nodes.values():
             node.start()
-        updates: list[Update] = [core.me for core in self.cores()]
-        data = wire.encode(FLEET, Exchange("", tuple(updates), answer=False))
+        updates: list[Update] = [core.own_update for core in self.live_cores()]
+        data = wire.encode(FLEET_HASH, Exchange("", tuple(updates), wants_reply=False))
         for node in self.nodes.values():
-            node.do(lambda core, now_us: self._settled(core, now_us, data))
+            node.run_step(lambda core, now_us: self._settle_member(core, now_us, data))
 
-    def _settled(self, core: Peers, now_us: int, data: bytes) -> list[Out]:
-        view = wire.decode(FLEET, data)  # each member has objects of its own, as in a process of its own
-        assert isinstance(core, SettledPeers)
+    def _settle_member(self, core: MembershipCore, now_us: int, data: bytes) -> list[Output]:
+        # Decoded for each member, as members in separate processes share no objects.
+        view = wire.decode(FLEET_HASH, data)
+        assert isinstance(core, SettledMember)
         assert isinstance(view, Exchange)
         core.settle(now_us, view)
         return []
 
-    def cores(self) -> list[SettledPeers]:
-        """Of all members that are up."""
-        return [node.core for node in self.nodes.values() if isinstance(node.core, SettledPeers)]
-
-    def said(self, sender: str, to: str, message: Message) -> None:
-        """Count the bytes; what does not fit a datagram is left out, as it is by a process."""
-        data = wire.encode(FLEET, message)
-        head = wire.LENGTH.size if isinstance(message, Exchange) else 0
-        self.bytes[type(message).__name__] += head + len(data)
-        self.bytes_by[sender] += head + len(data)
-        super().said(sender, to, wire.decode(FLEET, data))
-
-    def changed(self, name: str, event: Changed) -> None:
-        """Count what members have to tell their processes."""
-        self.changes += 1
-        super().changed(name, event)
+    def live_cores(self) -> list[SettledMember]:
+        """Return the cores of all running members."""
+        return [node.core for node in self.nodes.values() if isinstance(node.core, SettledMember)]
+
+    def send(self, sender: str, to: str, message: Message) -> None:
+        """Count the bytes, and send what the wire format keeps: a datagram drops updates beyond its size."""
+        data = wire.encode(FLEET_HASH, message)
+        prefix_bytes = wire.LENGTH_PREFIX.size if isinstance(message, Exchange) else 0
+        self.bytes_by_type[type(message).__name__] += prefix_bytes + len(data)
+        self.bytes_by_sender[sender] += prefix_bytes + len(data)
+        super().send(sender, to, wire.decode(FLEET_HASH, data))
+
+    def record_state_change(self, name: str, event: StateChanged) -> None:
+        """Count the state changes that members report to their processes."""
+        self.state_changes += 1
+        super().record_state_change(name, event)
--- a/fleetlab/templates.py
+++ b/fleetlab/templates.py
@@ -1,4 +1,4 @@
-"""Program templates: what a ``[[program]]`` of a scenario takes over by ``use``, so that it stands once."""
+"""Program templates, which a ``[[program]]`` of a scenario includes by its key ``use``."""
 
 from __future__ import annotations
 
@@ -6,32 +6,33 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).resolve().parent / "scenarios" / "programs"
-USE = "use"
+TEMPLATE_FOLDER = Path(__file__).resolve().parent / "scenarios" / "programs"
+TEMPLATE_KEY = "use"
 
 
-def names() -> list[str]:
-    """The project's templates."""
-    return sorted(path.stem for path in FOLDER.glob("*.toml"))
+def template_names() -> list[str]:
+    """Return the names of the project's templates."""
+    return sorted(path.stem for path in TEMPLATE_FOLDER.glob("*.toml"))
 
 
 def with_templates(raw: dict[str, Any]) -> dict[str, Any]:
-    """A scenario's keys with each ``use`` resolved; ``ValueError`` that begins with the key if unknown.
+    """Return the keys of a scenario with the templates of its programs filled in.
 
-    What a program sets by itself goes before its template. The schema judges everything else.
+    Keys that a program sets itself override its template. Raise ``ValueError``, which begins with the key, if
+    there is no such template. Everything else is left to the schema's checks.
     """
     programs = raw.get("program")
     if not isinstance(programs, list):
         return raw
-    return raw | {"program": [_resolved(at, program) for at, program in enumerate(programs)]}
+    return raw | {"program": [_resolve_template(at, program) for at, program in enumerate(programs)]}
 
 
-def _resolved(at: int, program: Any) -> Any:
-    if not isinstance(program, dict) or USE not in program:
+def _resolve_template(at: int, program: Any) -> Any:
+    if not isinstance(program, dict) or TEMPLATE_KEY not in program:
         return program
-    name = program[USE]
-    if name not in names():
-        raise ValueError(f"program[{at}].use: {name!r} is none of {', '.join(names())}")
-    template = tomllib.loads((FOLDER / f"{name}.toml").read_text(encoding="utf-8"))
-    own = {key: value for key, value in program.items() if key != USE}
+    name = program[TEMPLATE_KEY]
+    if name not in template_names():
+        raise ValueError(f"program[{at}].use: {name!r} is none of {', '.join(template_names())}")
+    template = tomllib.loads((TEMPLATE_FOLDER / f"{name}.toml").read_text(encoding="utf-8"))
+    own = {key: value for key, value in program.items() if key != TEMPLATE_KEY}
     return template | own
--- a/quorum/__main__.py
+++ b/quorum/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m quorum CONFIG`` runs a member; ``... COMMAND CONFIG`` is for operators."""
+"""``python -m quorum CONFIG`` runs a member; ``python -m quorum COMMAND CONFIG`` is for operators."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 import typer
 
 from quorum import wire
-from quorum.client import QuorumError, call, leader_of, order, status
-from quorum.commands import ended_by_signal, play
+from quorum.client import QuorumError, ask_member, find_leader, member_status, order_leader
+from quorum.commands import run_command_line, stop_event
 from quorum.config import load
-from quorum.logs import log_lines
-from quorum.machine import restored
 from quorum.messages import Snapshot
 from quorum.server import Server
+from quorum.service_logging import configure_logging
+from quorum.state_machine import prepare_restored_state
 from quorum.store import StoreError, replace_file, restore
-from tomlconfig import Address, ConfigError, address_of
+from tomlconfig import Address, ConfigError, parse_address
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 ConfigFile = Annotated[Path, typer.Argument(metavar="CONFIG", help="The TOML file of any member.")]
@@ -30,8 +30,8 @@
 
 
 async def serve(path: Path) -> None:
-    """Run a member until SIGTERM or SIGINT; SIGHUP reads the members' addresses again."""
-    over = ended_by_signal()
+    """Run a member until SIGTERM or SIGINT; SIGHUP reloads the members' addresses."""
+    stop = stop_event()
     server = Server(load(path))
 
     def reload() -> None:
@@ -42,24 +42,24 @@
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
     await server.start()
-    await over.wait()
+    await stop.wait()
     await server.stop()
 
 
-def addresses(path: Path) -> dict[str, Address]:
-    """The members of a configuration file."""
-    return {name: address_of(text) for name, text in load(path).members.items()}
+def member_addresses(path: Path) -> dict[str, Address]:
+    """Return the members' addresses from a configuration file."""
+    return {name: parse_address(text) for name, text in load(path).members.items()}
 
 
 @app.command()
 def run(config: Annotated[Path, typer.Argument(help="The member's TOML file.")]) -> None:
-    """A member of a quorum that keeps leases."""
-    log_lines()
+    """Run a member of a quorum that keeps leases."""
+    configure_logging()
     asyncio.run(serve(config))
 
 
-def line_of(health: wire.Health) -> str:
-    """A member in one line."""
+def format_health(health: wire.Health) -> str:
+    """Describe a member's status in one line."""
     behind = ", ".join(f"{other} {lag}" for other, lag in sorted(health.lag.items()))
     turned = "; ".join(f"{other} does not listen: {why}" for other, why in sorted(health.turned.items()))
     return (
@@ -72,12 +72,12 @@
     )
 
 
-async def ask_all(members: dict[str, Address], as_json: bool) -> bool:
-    """A line for each member; whether one leads among those that answer."""
-    leads = False
+async def print_status(members: dict[str, Address], as_json: bool) -> bool:
+    """Print a line for each member; returns whether one of those that answer leads."""
+    has_leader = False
     for name, address in sorted(members.items()):
         try:
-            health = await status(address)
+            health = await member_status(address)
         except QuorumError as error:
             print(
                 msgspec.json.encode({"name": name, "error": str(error)}).decode()
@@ -85,23 +85,23 @@
                 else f"{name}: {error}"
             )
             continue
-        leads |= health.role == "leader"
-        print(msgspec.json.encode(health).decode() if as_json else line_of(health))
-    return leads
+        has_leader |= health.role == "leader"
+        print(msgspec.json.encode(health).decode() if as_json else format_health(health))
+    return has_leader
 
 
 @app.command(name="status")
 def status_of_all(config: ConfigFile, as_json: Json = False) -> None:
-    """A line for each member; 1 where none of them leads."""
-    raise typer.Exit(0 if asyncio.run(ask_all(addresses(config), as_json)) else 1)
+    """Print a line for each member; the exit code is 1 if none of them leads."""
+    raise typer.Exit(0 if asyncio.run(print_status(member_addresses(config), as_json)) else 1)
 
 
 @app.command()
 def leases(config: ConfigFile, as_json: Json = False) -> None:
-    """All leases as the leader knows them: holder, token, time left, who waits."""
+    """Print all leases as the leader knows them: holder, token, time left, number of waiting requests."""
 
-    async def ask() -> wire.Answer:
-        return await call(await leader_of(addresses(config)), wire.Leases(1))
+    async def ask() -> wire.ServerMessage:
+        return await ask_member(await find_leader(member_addresses(config)), wire.Leases(1))
 
     listed = asyncio.run(ask())
     assert isinstance(listed, wire.Listed)
@@ -116,28 +116,28 @@
 
 @app.command(name="step-down")
 def step_down(config: ConfigFile) -> None:
-    """Let another member lead."""
-    asyncio.run(order(addresses(config), wire.StepDown(1)))
+    """Transfer leadership to another member."""
+    asyncio.run(order_leader(member_addresses(config), wire.StepDown(1)))
 
 
 @app.command()
 def add(config: ConfigFile, name: str) -> None:
-    """Add a member, whose address all members' files have."""
-    asyncio.run(order(addresses(config), wire.Change(1, add=name)))
+    """Add a member, whose address has to be in all members' files already."""
+    asyncio.run(order_leader(member_addresses(config), wire.Change(1, add=name)))
 
 
 @app.command()
 def remove(config: ConfigFile, name: str) -> None:
-    """Take a member out."""
-    asyncio.run(order(addresses(config), wire.Change(1, remove=name)))
+    """Remove a member."""
+    asyncio.run(order_leader(member_addresses(config), wire.Change(1, remove=name)))
 
 
 @app.command()
 def snapshot(config: ConfigFile, file: Annotated[Path, typer.Argument(help="Where the copy goes.")]) -> None:
-    """Keep a copy of what the leader has applied."""
+    """Write a copy of the state that the leader has applied to a file."""
 
-    async def ask() -> wire.Answer:
-        return await call(await leader_of(addresses(config)), wire.Copy(1), 10.0)
+    async def ask() -> wire.ServerMessage:
+        return await ask_member(await find_leader(member_addresses(config)), wire.Copy(1), 10.0)
 
     copied = asyncio.run(ask())
     assert isinstance(copied, wire.Copied)
@@ -149,23 +149,23 @@
 
 @app.command(name="restore")
 def restore_folder(config: ConfigFile, file: Annotated[Path, typer.Argument(help="A copy.")]) -> None:
-    """Make the folder of this file's member from a copy: all members of a new quorum from the same one.
+    """Create a member's folder from a copy; all members of a new quorum need the same copy.
 
-    Before they start, the longest lease time in use has to have passed since the last old member ended.
+    Before they start, the longest lease time in use has to have passed since the last old member stopped.
     """
     loaded = load(config)
     try:
         copy = msgspec.msgpack.decode(file.read_bytes(), type=Snapshot)
-        data = restored(copy.data)
+        data = prepare_restored_state(copy.data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{file}: no copy of a quorum: {error}") from None
-    restore(Path(loaded.folder), Snapshot(copy.index, copy.term, loaded.first_members, data))
-    print(f"{loaded.folder}: begins after entry {copy.index}; members {' '.join(loaded.first_members)}")
+    restore(Path(loaded.folder), Snapshot(copy.index, copy.term, loaded.initial_members, data))
+    print(f"{loaded.folder}: begins after entry {copy.index}; members {' '.join(loaded.initial_members)}")
 
 
 def main() -> int:
-    """Run; 2 and one line where something cannot be used, 1 where a quorum does not do what was asked."""
-    return play(app, "quorum", (ConfigError, StoreError, OSError))
+    """Run the command line; returns 2 for unusable input and 1 if a quorum does not do what was asked."""
+    return run_command_line(app, "quorum", (ConfigError, StoreError, OSError))
 
 
 if __name__ == "__main__":
