--- a/tests/quorum/test_server.py
+++ b/tests/quorum/test_server.py
@@ -8,6 +8,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from random import Random
 
 import msgspec
 import pytest
@@ -16,7 +17,9 @@
 from quorum import wire
 from quorum.client import Client, LeaseKeeper, QuorumError, ask_member, order_leader
 from quorum.member import NoRoom
+from quorum.messages import TimeoutNow
 from quorum.monotonic_clock import now_us
+from quorum.server import PeerLink
 from quorum.state_machine import MAX_VALUE_BYTES, RESTORED_TOKEN_GAP, Done, Refused
 from quorum.store import Store, StoreError
 from quorum.wire import (
@@ -426,3 +429,57 @@
     cluster = Quorum(tmp_path, 1)
     with pytest.raises(QuorumError, match="does not answer"):
         await ask_member(cluster.members["q0"], wire.Status(1))
+
+
+class BrokenWriter:
+    """A stream writer whose connection is lost with the first message behind the greeting."""
+
+    def __init__(self) -> None:
+        self.transport = self
+
+    def abort(self) -> None:
+        """Do nothing: there is no connection."""
+
+    def write(self, data: bytes) -> None:
+        """Accept everything."""
+
+    async def drain(self) -> None:
+        """Fail as on a connection that its peer has reset."""
+        raise ConnectionResetError("Connection lost")
+
+
+async def test_a_link_that_is_stopped_while_its_connection_ends_does_not_go_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A member that stops cancels its links; one that is just closing a lost connection must end too.
+
+    ``Server.stop`` waits for all of them, so that a member whose link goes on never ends.
+    """
+    reader = asyncio.StreamReader()
+    closing = asyncio.Event()
+    read_frame = wire.read_frame
+
+    async def read_until_cancelled(*_: object) -> bytes:
+        try:
+            return await read_frame(reader, MAX_CLIENT_FRAME_BYTES)
+        finally:
+            closing.set()  # the link waits for this task, which it has cancelled
+            await asyncio.sleep(0)
+
+    async def connected(*_: object) -> tuple[asyncio.StreamReader, BrokenWriter]:
+        return reader, BrokenWriter()
+
+    monkeypatch.setattr(wire, "read_frame", read_until_cancelled)
+    monkeypatch.setattr(asyncio, "open_connection", connected)
+    link = PeerLink("q1", ("127.0.0.1", 1), Hello(PROTOCOL_VERSION), Random(1))
+    task = asyncio.ensure_future(link.run())
+    await asyncio.sleep(0.01)
+    link.send(TimeoutNow(1))
+    async with asyncio.timeout(WITHIN_S):
+        await closing.wait()
+    task.cancel()
+    await asyncio.wait({task}, timeout=1.0)
+    try:
+        assert task.done()
+    finally:
+        task.cancel()
