--- a/fleetlab/scale/held_load.py
+++ b/fleetlab/scale/held_load.py
@@ -1,4 +1,4 @@
-"""The messages that a relay holds in a backlog: derived from a seed, for destinations that are down."""
+"""A backlog of messages that a relay holds for destinations that are down, derived from a seed."""
 
 from __future__ import annotations
 
@@ -6,76 +6,86 @@
 from dataclasses import dataclass
 from random import Random
 
+from decisions.interface import Effect, Entry, Listing, MessageClass, Settings
 from fleetlab.scale.endpoints import ZONES
-from mallowlug.journal import reserve
-from mallowlug.relay import Handed, Held
-from mossfront.interface import Effect, Entry, Listing, MessageClass, Settings
+from relay.driver import ClientMessage, HeldMessage
+from relay.journal import later_records_bytes
 
-DESTINATIONS = 31_000
-DOWN = 682  # of them, 2.2%
+DESTINATION_COUNT = 31_000
+# Destinations that are down: 2.2% of all. They have the numbers 0 to ``DOWN_COUNT - 1``.
+DOWN_COUNT = 682
 BODY_BYTES = 200
-KIND = "franchisee"
+DESTINATION_KIND = "franchisee"
 HOUR_US = 3_600_000_000
-START_US = 4_000_000_000_000_000  # simulated time begins in the distant future: a real clock is before it
-EARLIEST_US, LATEST_US = 12 * HOUR_US, 24 * HOUR_US  # until a message's time is up
-SEAT_STATUS = MessageClass("seat-status", Effect.SAFE, 1_500_000, LATEST_US, late_worth=0.5)
+# Simulated time begins far in the future, so that no deadline of the backlog has passed by a real clock.
+START_US = 4_000_000_000_000_000
+# Range of the time from a message's arrival to its deadline.
+MIN_TIME_LEFT_US = 12 * HOUR_US
+MAX_TIME_LEFT_US = 24 * HOUR_US
+SEAT_STATUS = MessageClass("seat-status", Effect.SAFE, 1_500_000, MAX_TIME_LEFT_US, late_worth=0.5)
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Which destinations hold the backlog."""
+    """How the backlog is distributed over the destinations that are down."""
 
-    one_holds_most: bool  # the others that are down hold one message each
+    # Destination 0 has all messages but one for each other destination; otherwise they are drawn evenly.
+    mostly_one: bool
 
-    def destination(self, number: int, random: Random) -> int:
-        """Where the message of that number goes; destinations 0 to ``DOWN - 1`` are down."""
-        if not self.one_holds_most:
-            return random.randrange(DOWN)
-        return number if number < DOWN else 0
+    def choose_destination(self, number: int, random: Random) -> int:
+        """The destination, one that is down, of message ``number``."""
+        if not self.mostly_one:
+            return random.randrange(DOWN_COUNT)
+        return number if number < DOWN_COUNT else 0
 
 
-SPREAD, ONE = Placement(one_holds_most=False), Placement(one_holds_most=True)
+EVENLY_SPREAD = Placement(mostly_one=False)
+MOSTLY_ONE = Placement(mostly_one=True)
 
 
-def message(number: int, destination: int, now_us: int, random: Random) -> Held:
-    """One message as a relay holds it; its identifier is as long as a client's."""
+def make_message(number: int, destination: int, now_us: int, random: Random) -> HeldMessage:
+    """One message as a relay holds it, with an identifier of the same length as a client's."""
     name = f"{random.getrandbits(64):016x}-{number:09d}"
-    deadline_us = now_us + random.randrange(EARLIEST_US, LATEST_US)
-    handed = Handed(name, destination, SEAT_STATUS.name, deadline_us, "tenant-1", "", f"key-{name}")
-    return Held(handed, random.randbytes(BODY_BYTES))
+    deadline_us = now_us + random.randrange(MIN_TIME_LEFT_US, MAX_TIME_LEFT_US)
+    client_message = ClientMessage(
+        name, destination, SEAT_STATUS.name, deadline_us, "tenant-1", "", f"key-{name}"
+    )
+    return HeldMessage(client_message, random.randbytes(BODY_BYTES))
 
 
-def backlog(count: int, placement: Placement, seed: int) -> Iterator[Held]:
-    """The messages of a backlog, in the order of their arrival."""
+def make_backlog(count: int, placement: Placement, seed: int) -> Iterator[HeldMessage]:
+    """``count`` messages of a backlog, in the order of their arrival at ``START_US``."""
     random = Random(seed)
     for number in range(count):
-        yield message(number, placement.destination(number, random), START_US, random)
+        yield make_message(number, placement.choose_destination(number, random), START_US, random)
 
 
-def host_of(destination: int) -> str:
-    """The one endpoint of a destination."""
+def host_name(destination: int) -> str:
+    """The name of the only endpoint of a destination."""
     return f"s-{destination:05d}"
 
 
-def entries(count: int = DESTINATIONS) -> tuple[Entry, ...]:
-    """The endpoint list; down or not, each destination is listed as ready."""
+def make_entries(count: int = DESTINATION_COUNT) -> tuple[Entry, ...]:
+    """The endpoint list; each destination is listed as ready, also one that is down."""
     numbers = range(count)
-    return tuple(Entry(host_of(n), n, ZONES[n % len(ZONES)], KIND, Listing.READY) for n in numbers)
+    return tuple(
+        Entry(host_name(n), n, ZONES[n % len(ZONES)], DESTINATION_KIND, Listing.READY) for n in numbers
+    )
 
 
-def settings(hold_cap: int) -> Settings:
-    """A relay of a fleet of 600 that may hold so many messages."""
+def make_settings(hold_cap: int) -> Settings:
+    """Settings of a relay in a fleet of 600 that may hold ``hold_cap`` messages."""
     return Settings(
         slots=64,
         classes=(SEAT_STATUS,),
         group_size=600,
         hold_cap=hold_cap,
-        max_attempts=1_000,  # a backlog outlasts its trials
+        max_attempts=1_000,  # so many that no message of the backlog runs out of attempts
         round_us=5_000,
         may_cancel=True,
     )
 
 
-def reserved_bytes(held: Held) -> int:
-    """Room that the journal keeps free for what may still be said of the message."""
-    return reserve(held.handed.id)
+def reserved_bytes(held: HeldMessage) -> int:
+    """Bytes that the journal reserves for the later records of the message."""
+    return later_records_bytes(held.message.id)
--- a/fleetlab/scale/process.py
+++ b/fleetlab/scale/process.py
@@ -1,4 +1,4 @@
-"""What the process that measures has used so far."""
+"""Memory and processor time of the measuring process, and its garbage collector."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 import time
 from pathlib import Path
 
-from mallowlug.cost import memory_of
+from relay.resource_usage import read_memory_bytes
 
-OWN_FOLDER = Path("/proc/self")
+OWN_PROC_FOLDER = Path("/proc/self")
 
 
 def resident_bytes() -> int:
-    """Memory that this process holds now, by the system's accounting."""
-    return memory_of(OWN_FOLDER)["VmRSS"]
+    """Resident memory of this process, as the kernel counts it."""
+    return read_memory_bytes(OWN_PROC_FOLDER)["VmRSS"]
 
 
 def processor_seconds() -> float:
-    """Processor time that this process used, in user and system mode."""
+    """Processor time that this process has used so far, user and system, in seconds."""
     return time.process_time()
 
 
-def freeze() -> None:
-    """Spare what there is now from collections of garbage.
+def exclude_objects_from_gc() -> None:
+    """Exclude all present objects from garbage collection.
 
-    Many hollow parts stand in one process; a process of one part would not look through all others' objects.
+    One process holds many simulated parts; a real process of a single part would not traverse the objects of
+    all the others in its collections.
     """
     gc.freeze()
--- a/fleetlab/scale/subjects/members.py
+++ b/fleetlab/scale/subjects/members.py
@@ -1,45 +1,48 @@
-"""A settled fleet in calm: what each member sends, and what it costs it in processor time and memory."""
+"""A settled fleet without events: what each member sends, and its processor time and memory."""
 
 from __future__ import annotations
 
-from fleetlab.scale.load import Load
-from fleetlab.scale.process import freeze, processor_seconds, resident_bytes
+from fleetlab.scale.process import exclude_objects_from_gc, processor_seconds, resident_bytes
 from fleetlab.scale.records import Reading, Source
+from fleetlab.scale.simulated_load import LoadCounter
 from fleetlab.scale.subject import Subject
 from fleetlab.sim.settled import SettledSim
-from membership.core import Peers
-from membership.standing import Fleet
+from membership.core import MembershipCore
+from membership.view_agreement import FleetTracker
 
-SETTLE_S, CALM_S = 15.0, 45.0  # simulated
-LOOKS = 20
+SETTLE_S = 15.0  # simulated, before the measurement
+CALM_S = 45.0  # simulated, of the measurement
+STANDING_UPDATES = 20  # repetitions that are timed
 SIZES = (5, 10, 20, 40, 60, 200, 600, 1024)
 TARGET = 600
 MIB = 1 << 20
-BYTES_PER_ENTRY = 3_000  # upper estimate of memory for one member in another's view
+BYTES_PER_ENTRY = 3_000  # upper estimate of memory for one member's entry in the view of another
 
 
 def memory_bytes(size: int) -> int:
-    """An upper estimate for a simulated fleet: each member holds all."""
+    """Upper estimate of memory for a simulated fleet, in which each member has an entry for all."""
     return 64 * MIB + size * size * BYTES_PER_ENTRY
 
 
 def measure(size: int, seed: int) -> list[Reading]:
-    """Let a settled fleet be."""
+    """Measure a settled fleet without events."""
     before_bytes = resident_bytes()
     sim = SettledSim(seed, size)
-    freeze()
+    exclude_objects_from_gc()
     sim.run(SETTLE_S)
     held_bytes = (resident_bytes() - before_bytes) / size
     return [
-        *calm(sim),
+        *measure_calm(sim),
         Reading("member_resident_bytes", held_bytes, Source.TIMED),
-        Reading("standing_look_processor_microseconds", standing_look_us(sim.cores()[0]), Source.TIMED),
+        Reading(
+            "standing_look_processor_microseconds", measure_standing_update_us(sim.cores()[0]), Source.TIMED
+        ),
     ]
 
 
-def calm(sim: SettledSim) -> list[Reading]:
-    """What is sent while nothing happens."""
-    load = Load(sim)
+def measure_calm(sim: SettledSim) -> list[Reading]:
+    """Measure what is sent while nothing happens."""
+    load = LoadCounter(sim)
     sim.run(CALM_S)
     return [
         *load.readings("calm"),
@@ -48,14 +51,14 @@
     ]
 
 
-def standing_look_us(core: Peers) -> float:
-    """What a process spends, at each change of its view, on where it stands in its fleet."""
-    fleet = Fleet(core.me.name, 0)
+def measure_standing_update_us(core: MembershipCore) -> float:
+    """Processor time of a member to recompute its standing in its fleet, as at each change of its view."""
+    fleet = FleetTracker(core.own_update.name, 0)
     begun_s = processor_seconds()
-    for number in range(LOOKS):
-        view = sorted((held.update for held in core.held.values()), key=lambda update: update.name)
-        fleet.look(number, view, core.health)
-    return 1e6 * (processor_seconds() - begun_s) / LOOKS
+    for number in range(STANDING_UPDATES):
+        view = sorted((held.update for held in core.members.values()), key=lambda update: update.name)
+        fleet.update(number, view, core.local_health)
+    return 1e6 * (processor_seconds() - begun_s) / STANDING_UPDATES
 
 
 SUBJECT = Subject(
--- a/membership/trace.py
+++ b/membership/trace.py
@@ -1,4 +1,4 @@
-"""Each change of a member's view, written down for a proving ground."""
+"""A trace file with each change of a member's view, which the test lab checks."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 
 import msgspec
 
-from membership.messages import Changed
+from membership.messages import StateChanged
 
-TRACE = "views.jsonl"
+TRACE_FILE = "views.jsonl"
 
 
-class Seen(msgspec.Struct, frozen=True):
-    """A change of a view as it is written down; all processes of a machine share the clock."""
+class ViewChange(msgspec.Struct, frozen=True):
+    """A change of a view as it stands in the trace; the field names are the record's keys."""
 
-    at_s: float
-    generation: int  # of the member that holds it
+    at_s: float  # monotonic clock, which all processes of a machine share
+    generation: int  # of the member that writes the trace
     name: str
     state: str
-    by: str
+    by: str  # the member that reported the state
 
 
-def traced(path: Path, generation: int) -> Callable[[Changed], None]:
-    """Write each change of the view behind the others."""
+def trace_writer(path: Path, generation: int) -> Callable[[StateChanged], None]:
+    """A callback that appends each change of the view to the trace at ``path``."""
     file = path.open("ab", buffering=0)
 
-    def changed(change: Changed) -> None:
+    def write_change(change: StateChanged) -> None:
         update = change.update
-        seen = Seen(time.monotonic(), generation, update.name, update.state.name.lower(), update.by)
-        file.write(msgspec.json.encode(seen) + b"\n")
+        record = ViewChange(
+            time.monotonic(), generation, update.name, update.state.name.lower(), update.reported_by
+        )
+        file.write(msgspec.json.encode(record) + b"\n")
 
-    return changed
+    return write_change
--- a/quorum/config.py
+++ b/quorum/config.py
@@ -1,4 +1,4 @@
-"""A member's configuration: TOML, checked at the start; what cannot be used is one line with file and key."""
+"""A member's configuration: a TOML file, checked at the start. An error is one line with the file and key."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 import msgspec
 
-from tomlconfig import Address, ConfigError, address_of, check_address, read
+from tomlconfig import Address, ConfigError, check_address, parse_address, read_config
 
-MOST_MEMBERS, MOST_RESERVE_KB = 9, 1024 * 1024
+MAX_MEMBERS = 9  # current and future ones in the table of addresses
+MAX_RESERVE_KB = 1024 * 1024  # 1 GiB
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Milliseconds on each member's monotonic clock; the same at all members."""
+    """Raft's timeouts in milliseconds on each member's monotonic clock; the same at all members."""
 
     least_election_ms: int = 300
     most_election_ms: int = 600
@@ -20,48 +21,48 @@
 
 
 class Config(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One member of a quorum."""
+    """The configuration of one member of a quorum."""
 
     name: str
-    listen: str  # where members and clients connect, on this machine's loopback or own network
-    folder: str  # the folder that lasts: term, vote, log and snapshot
-    members: dict[str, str]  # every member, and every one that may become one: its address from here
-    voters: list[str] = []  # who takes part at the beginning; empty: all of them
-    operators: str = ""  # where operators read figures by HTTP; empty: nowhere
-    reserve_kb: int = 1024  # of the disk, kept for what may not wait once it is full; 0: none
+    listen: str  # address for members and clients, on this machine's loopback or own network
+    folder: str  # the durable folder with term, vote, log and snapshot
+    members: dict[str, str]  # address, as reached from here, of every current or future member by name
+    voters: list[str] = []  # the initial members; empty: all of ``members``
+    operators: str = ""  # address of the operators' HTTP pages; empty: none
+    reserve_kb: int = 1024  # disk space in KiB for writes that cannot be deferred on a full disk; 0: none
     times: Times = Times()
 
     @property
-    def first_members(self) -> tuple[str, ...]:
-        """Who takes part before any change of membership."""
+    def initial_members(self) -> tuple[str, ...]:
+        """The members before any change of membership."""
         return tuple(sorted(self.voters or self.members))
 
     @property
     def listen_address(self) -> Address:
-        """Where it listens."""
-        return address_of(self.listen)
+        """The address for members and clients."""
+        return parse_address(self.listen)
 
     @property
     def others(self) -> dict[str, Address]:
-        """The other members."""
-        return {name: address_of(text) for name, text in self.members.items() if name != self.name}
+        """The addresses of all other members."""
+        return {name: parse_address(text) for name, text in self.members.items() if name != self.name}
 
 
 def check(config: Config) -> None:
-    """What types alone do not tell; ``ConfigError`` begins with the key."""
+    """Check what the field types do not express; raises ``ConfigError``, whose text begins with the key."""
     if config.name not in config.members:
         raise ConfigError(f"members: {config.name!r} is not among them")
-    if len(config.members) > MOST_MEMBERS:
-        raise ConfigError(f"members: there are {len(config.members)}, and may be {MOST_MEMBERS}")
+    if len(config.members) > MAX_MEMBERS:
+        raise ConfigError(f"members: there are {len(config.members)}, and may be {MAX_MEMBERS}")
     for name in config.voters:
         if name not in config.members:
             raise ConfigError(f"voters: {name!r} is not among the members")
-    if len(set(config.first_members)) not in (1, 3, 5):
-        raise ConfigError(f"voters: there are {len(set(config.first_members))}, and have to be 1, 3 or 5")
+    if len(set(config.initial_members)) not in (1, 3, 5):
+        raise ConfigError(f"voters: there are {len(set(config.initial_members))}, and have to be 1, 3 or 5")
     if len(set(config.members.values())) < len(config.members):
         raise ConfigError("members: two have the same address")
-    if not 0 <= config.reserve_kb <= MOST_RESERVE_KB:
-        raise ConfigError(f"reserve_kb: {config.reserve_kb} is not from 0 to {MOST_RESERVE_KB}")
+    if not 0 <= config.reserve_kb <= MAX_RESERVE_KB:
+        raise ConfigError(f"reserve_kb: {config.reserve_kb} is not from 0 to {MAX_RESERVE_KB}")
     times = config.times
     if not 0 < 2 * times.heartbeat_ms <= times.least_election_ms < times.most_election_ms:
         raise ConfigError("times: 2 * heartbeat_ms <= least_election_ms < most_election_ms does not hold")
@@ -71,5 +72,5 @@
 
 
 def load(path: Path) -> Config:
-    """A member's configuration file; ``ConfigError`` names file and key."""
-    return read(path, Config, check)
+    """Read a member's configuration file; raises ``ConfigError``, which names the file and key."""
+    return read_config(path, Config, check)
--- a/quorum/logs.py
+++ b/quorum/service_logging.py
@@ -1,4 +1,4 @@
-"""How the fleet's services log: JSON lines on standard error."""
+"""Logging of the fleet's services: JSON lines on standard error."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 import structlog
 
 
-class Lines:
-    """A stream for the log; what it cannot take, on a full disk or a closed pipe, is left out and counted."""
+class TolerantStream:
+    """A log stream that drops and counts what cannot be written, as on a full disk or a closed pipe."""
 
     def __init__(self, stream: TextIO) -> None:
-        self._stream, self.left_out = stream, 0
+        self._stream, self.dropped_writes = stream, 0
 
     def write(self, text: str) -> int:
-        """One line, or nothing: no service ends for its log."""
+        """Write one line, or drop it: a service must not fail because of its log."""
         try:
             return self._stream.write(text)
         except (OSError, ValueError):
-            self.left_out += 1
+            self.dropped_writes += 1
             return 0
 
     def flush(self) -> None:
-        """Pass on what was written."""
+        """Flush the stream."""
         try:
             self._stream.flush()
         except (OSError, ValueError):
-            self.left_out += 1
+            self.dropped_writes += 1
 
 
-def log_lines() -> None:
-    """Set it up, for the whole process."""
+def configure_logging() -> None:
+    """Configure logging for the whole process."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -40,5 +40,5 @@
             structlog.processors.JSONRenderer(),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=lambda *_: structlog.WriteLogger(cast(TextIO, Lines(sys.stderr))),
+        logger_factory=lambda *_: structlog.WriteLogger(cast(TextIO, TolerantStream(sys.stderr))),
     )
--- /dev/null
+++ b/relay/__main__.py
@@ -0,0 +1,305 @@
+"""Start, signals and exit code of one relay: ``python -m relay``."""
+
+from __future__ import annotations
+
+import sys
+from typing import Any, cast
+
+# Every connection of the relay is plain TCP. With this entry the import of ``ssl`` fails, and asyncio works
+# without TLS; OpenSSL would take a fifth of the memory of a relay that has just started.
+sys.modules.update(cast("dict[str, Any]", {"ssl": None}))
+
+import asyncio
+import logging
+import os
+import pickle
+import signal
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import asdict
+from itertools import islice
+
+from relay import config
+from relay.admin import PREDECESSOR_ADDRESS_S, AdminServer, RequestHandler
+from relay.clients import Server
+from relay.driver import AnyVersionState, Driver, MessageCounts, layout
+from relay.handover import HandoverPayload, HandoverServer, ReceivedHandover, RelayLock, become_relay
+from relay.journal import Journal
+from relay.listeners import Listener, duplicate_socket, listen_at, listen_when_free
+from relay.resource_usage import CostReporter, RelayCounters
+
+LOG = logging.getLogger("relay")
+# s after SIGTERM in which clients are still served, because no other process would receive their messages.
+SERVE_AFTER_SIGTERM_S = 2.6
+EXIT_AFTER_SIGTERM_S = 3.2  # s after SIGTERM when the process exits; SIGKILL comes no sooner than 3.7 s
+# Iterations of the event loop in which accepted connections are set up and requests on them are answered.
+EVENT_LOOP_TURNS = 5
+SPARE_DESCRIPTORS = 16  # descriptors of a process beside those of clients, calls and idle connections
+COST_LOG_INTERVAL_S = 60.0  # s between log lines on the process's resource usage
+STATE_FILE_DESCRIPTORS = 2  # the journal and the lock
+SHUTDOWN_POLL_S = 0.02  # s between checks whether a shutdown is complete
+
+
+class Service:
+    """One process: it becomes the relay, serves, and leaves its state to the next process or the journal."""
+
+    def __init__(self, cfg: config.Config) -> None:
+        self._config = cfg
+        # Computed at the start, while the source files are still those that this process has loaded. Without
+        # a passed socket there is no handover, and reading the files would take a fifteenth of a start.
+        self._layout = layout(cfg.settings) if cfg.passed_socket is not None else ""
+        self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.admin = AdminServer()
+        self._cost_timer: asyncio.TimerHandle | None = None  # for the next cost log line
+        # Only used with a passed socket: without one, no other process could accept this one's clients.
+        self._handover_path = cfg.shared_dir / "handover.sock"
+        self.lock = RelayLock(cfg.state_dir)
+
+    async def start(self) -> None:
+        """Become the relay, with the state of the previous process or that of the journal."""
+        cfg = self._config
+        if cfg.admin is not None:
+            # The running relay still answers there for a while where that was its predecessor's address.
+            await self.admin.start(await listen_when_free(cfg.admin, PREDECESSOR_ADDRESS_S + 1))
+        received = await become_relay(self.lock, self._handover_path, self._layout)
+        self.journal = Journal(cfg.state_dir, cfg.disk_bytes)
+        self.driver = Driver(cfg, self.journal, self._on_crash)
+        self.server = Server(self.driver, cfg.max_sockets // 2, cfg.memory_bytes)
+        if received is None:
+            self.driver.start()
+        else:
+            await self._restore(received)
+        sock = listen_at(cfg.listen) if cfg.passed_socket is None else duplicate_socket(cfg.passed_socket)
+        await self.server.start(sock)
+        release_sender = received.sender.close if received is not None else lambda: None
+        self.cost_reporter = CostReporter(self._resource_counts)
+        self.admin.handler = RequestHandler(
+            self.driver, lambda: self.server.serving, release_sender, self.cost_reporter.lines
+        )
+        if cfg.admin is None:  # there is no health check to release it
+            release_sender()
+        else:
+            self.cost_reporter.start()
+            self._schedule_cost_log()
+        self.handover_server = HandoverServer(
+            self._handover_path,
+            self._layout,
+            self.lock,
+            quiesce=self._quiesce,
+            export_payload=self._export_payload,
+            resume_serving=self._resume_serving,
+        )
+        if cfg.passed_socket is not None:
+            self.handover_server.start()
+
+    def _resource_counts(self) -> RelayCounters:
+        """The counters of the relay's parts, for the cost report."""
+        counts = self.driver.stats.counts
+        return RelayCounters(
+            ended_messages=counts.ended.total(),
+            module_us=self.driver.module_us,
+            journal_bytes=self.journal.written_bytes,
+            journal_writes=self.journal.write_count,
+            descriptors={
+                "clients": self.server.connection_count,
+                **self.driver.descriptor_counts,
+                "operators": len(self.admin.connections),
+                "files": STATE_FILE_DESCRIPTORS,
+            },
+            calls=self.driver.call_counts,
+            ended_clients={str(reason): count for reason, count in self.server.ended_counts.items()},
+            refused_messages={str(reason): count for reason, count in self.driver.refusal_counts.items()},
+        )
+
+    def _schedule_cost_log(self) -> None:
+        self._cost_timer = asyncio.get_running_loop().call_later(COST_LOG_INTERVAL_S, self._log_costs)
+
+    def _log_costs(self) -> None:
+        LOG.info("cost: %s", self.cost_reporter.summary())
+        self._schedule_cost_log()
+
+    def _on_crash(self, _error: BaseException) -> None:
+        if not self.exit_code.done():
+            self.exit_code.set_result(1)
+
+    async def _quiesce(self, same_layout: bool) -> None:
+        """Stop accepting connections and set up those accepted already.
+
+        A process of another layout cannot continue calls, so they are given time to end first.
+        """
+        if not same_layout:
+            loop = asyncio.get_running_loop()
+            self.driver.set_shutdown_deadline(loop.time() + SERVE_AFTER_SIGTERM_S)
+            await until(loop.time() + SERVE_AFTER_SIGTERM_S, lambda: self.driver.idle, 0.0)
+        for listener in self._listeners:
+            listener.pause()
+        await run_ready_callbacks()
+
+    async def _resume_serving(self) -> None:
+        """Undo ``_quiesce`` after a handover that failed."""
+        self.driver.set_shutdown_deadline(None)
+        for listener in self._listeners:
+            await listener.start()
+
+    @property
+    def _listeners(self) -> list[Listener]:
+        clients = [self.server.listener] if self.server.listener is not None else []
+        return clients + self.admin.listeners
+
+    def _export_payload(self, same_layout: bool) -> HandoverPayload:
+        """The state for the next process, with the sockets of operators, clients, calls and connections."""
+        clients, client_fds = self.server.export_clients()
+        portable, same_layout_state, call_fds = self.driver.export_state(
+            self._config.max_sockets // 2 - len(client_fds) - SPARE_DESCRIPTORS
+        )
+        admin_fds = [listener.sock.fileno() for listener in self.admin.listeners[:1]]
+        counts = self.driver.stats.counts
+        state = {  # the keys are the same in all versions
+            "heard": asdict(portable),
+            "clients": clients,
+            "admin": len(admin_fds),
+            "ended": [[*name, count] for name, count in counts.ended.items()],
+            "attempts": counts.attempts,
+        }
+        return HandoverPayload(
+            state,
+            pickle.dumps(same_layout_state) if same_layout else b"",
+            admin_fds + client_fds + (call_fds if same_layout else []),
+        )
+
+    async def _restore(self, received: ReceivedHandover) -> None:
+        """Continue with the state of the previous process."""
+        state, sockets = received.any_version_state, iter(received.sockets)
+        previous_counts = MessageCounts(
+            Counter({(cls, result): count for cls, result, count in state["ended"]}), state["attempts"]
+        )
+        for sock in islice(sockets, state["admin"]):
+            await self.admin.take_over(sock, previous_counts)
+        clients = list(islice(sockets, len(state["clients"])))
+        self.driver.import_any_version_state(AnyVersionState(**state["heard"]))
+        if received.pickled_state:
+            self.driver.start_from(pickle.loads(received.pickled_state), sockets)
+        else:
+            self.driver.start()
+        await self.server.restore_clients(state["clients"], clients)
+        LOG.info("handover: %d clients and %d bytes taken over", len(clients), len(received.pickled_state))
+
+    def close(self) -> None:
+        """Close everything; the lock last."""
+        self.handover_server.close()
+        self.cost_reporter.close()
+        if self._cost_timer is not None:
+            self._cost_timer.cancel()
+        self.admin.close()
+        self.server.close()
+        self.driver.close()
+        self.journal.close()
+        self.lock.close()
+
+
+async def serve(cfg: config.Config) -> int:
+    """Run until SIGTERM or until an error ends the step loop; return the exit code."""
+    loop = asyncio.get_running_loop()
+    terminated = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, terminated.set)
+    moved = asyncio.Event()  # a SIGHUP that came before this process was the relay
+    loop.add_signal_handler(signal.SIGHUP, moved.set)
+    service = Service(cfg)
+    start = loop.create_task(service.start())
+    ending = loop.create_task(terminated.wait())
+    await asyncio.wait({start, ending}, return_when=asyncio.FIRST_COMPLETED)
+    if not start.done() and not service.lock.claimed:  # another process is still the relay
+        start.cancel()
+        return 0
+    await start  # clients that were taken over are served before a shutdown
+    loop.add_signal_handler(signal.SIGHUP, reload_discovery, service.driver)
+    if moved.is_set():
+        reload_discovery(service.driver)
+    LOG.info("%s serves at %s:%d", cfg.name, *cfg.listen)
+    LOG.info("settings: %s; disk %d, sockets %d", cfg.settings, cfg.disk_bytes, cfg.max_sockets)
+    stop = loop.create_task(shut_down(terminated, service))
+    endings: set[asyncio.Future[Any]] = {stop, service.exit_code}
+    await asyncio.wait(endings, return_when=asyncio.FIRST_COMPLETED)
+    service.close()
+    if service.exit_code.done():
+        return service.exit_code.result()
+    stop.result()
+    return 0
+
+
+def reload_discovery(driver: Driver) -> None:
+    """Handle SIGHUP: read discovery's address again; an unusable configuration changes nothing."""
+    try:
+        address = config.read_discovery_address(os.environ)
+    except config.ConfigError as error:
+        LOG.error("SIGHUP: the configuration cannot be used: %s", error)
+        return
+    LOG.info("SIGHUP: discovery is at %s:%d", *address)
+    driver.move_discovery(address)
+
+
+async def shut_down(terminated: asyncio.Event, service: Service) -> None:
+    """Handle SIGTERM: serve while calls can still end, then close client connections between requests.
+
+    A connection closed with a request unanswered loses a message. So connections are closed while the server
+    still listens: a client whose request crossed the close repeats it on a new connection and is answered.
+    """
+    await terminated.wait()
+    LOG.info("SIGTERM: shutting down")
+    driver, server = service.driver, service.server
+    service.handover_server.close()  # without a handover by now, the journal passes messages on
+    start_s = asyncio.get_running_loop().time()
+    driver.set_shutdown_deadline(start_s + EXIT_AFTER_SIGTERM_S)
+    await until(
+        start_s + SERVE_AFTER_SIGTERM_S, lambda: not server.connection_count and driver.idle, start_s + 0.5
+    )
+    server.close_clients()
+    await until(
+        start_s + EXIT_AFTER_SIGTERM_S,
+        lambda: not server.connection_count and driver.idle,
+        start_s + SERVE_AFTER_SIGTERM_S + 0.3,
+    )
+    await answer_received_requests(server)
+    LOG.info("SIGTERM: shut down")
+
+
+async def answer_received_requests(server: Server) -> None:
+    """Answer all requests that have arrived, including those on connections not accepted yet."""
+    await run_ready_callbacks()
+    if server.listener is not None:
+        server.listener.pause()
+    await run_ready_callbacks()
+
+
+async def run_ready_callbacks() -> None:
+    """Let the event loop run all callbacks that are ready."""
+    for _ in range(EVENT_LOOP_TURNS):
+        await asyncio.sleep(0)
+
+
+async def until(last_s: float, done: Callable[[], bool], first_s: float) -> None:
+    """Wait until ``done`` is true, at least until ``first_s`` and at most until ``last_s``, in loop time."""
+    loop = asyncio.get_running_loop()
+    while loop.time() < last_s and not (loop.time() >= first_s and done()):
+        await asyncio.sleep(SHUTDOWN_POLL_S)
+
+
+def main() -> int:
+    """Read the configuration and serve; return the exit code, 2 for an unusable configuration."""
+    logging.basicConfig(
+        level=logging.INFO,
+        stream=sys.stderr,
+        format="%(asctime)s.%(msecs)03d %(levelname)s %(message)s",
+        datefmt="%H:%M:%S",
+    )
+    try:
+        cfg = config.load(os.environ)
+    except config.ConfigError as error:
+        LOG.critical("configuration: %s", error)
+        return 2
+    return asyncio.run(serve(cfg))
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,17 +1,22 @@
-"""Settings and events that the tests share."""
+"""Settings and builders of events for tests of the decision engine."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
-from mossfront import interface as api
+from decisions import interface as api
 
 SECOND = 1_000_000
 SAFE = api.MessageClass(
     "status", api.Effect.SAFE, aim_us=SECOND, deadline_us=6 * SECOND, worth=2.0, late_worth=0.1
 )
 KEYED = api.MessageClass(
-    "post", api.Effect.KEYED, aim_us=4 * SECOND, deadline_us=16 * SECOND, late_worth=0.5, window_us=4 * SECOND
+    "post",
+    api.Effect.KEYED,
+    aim_us=4 * SECOND,
+    deadline_us=16 * SECOND,
+    late_worth=0.5,
+    key_window_us=4 * SECOND,
 )
 ZONED = api.MessageClass(
     "zoned",
@@ -19,17 +24,19 @@
     aim_us=4 * SECOND,
     deadline_us=20 * SECOND,
     late_worth=0.5,
-    window_us=15 * SECOND,
-    scope_is_zone=True,
+    key_window_us=15 * SECOND,
+    key_scope_is_zone=True,
 )
 UNSAFE = api.MessageClass(
     "order", api.Effect.UNSAFE, aim_us=3 * SECOND, deadline_us=16 * SECOND, worth=4.0, late_worth=0.5
 )
-TURN = api.MessageClass("turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, in_order=True)
+ORDERED = api.MessageClass(
+    "turn", api.Effect.SAFE, aim_us=SECOND, deadline_us=12 * SECOND, ordered_by_key=True
+)
 SETTINGS = api.Settings(
     slots=8,
-    classes=(SAFE, KEYED, ZONED, UNSAFE, TURN),
-    kinds=(api.Kind("plain"), api.Kind("split", apart=True, batch=3)),
+    classes=(SAFE, KEYED, ZONED, UNSAFE, ORDERED),
+    kinds=(api.DestinationKind("plain"), api.DestinationKind("split", limit_per_endpoint=True, batch_size=3)),
     tenants=(api.Tenant("big", 20.0), api.Tenant("small", 2.0)),
     group_size=2,
     hold_cap=60,
@@ -48,7 +55,7 @@
 
 
 def settings(**changes: object) -> api.Settings:
-    """The usual settings with some changed."""
+    """``SETTINGS`` with the given fields replaced."""
     return replace(SETTINGS, **changes)  # type: ignore[arg-type]
 
 
@@ -60,13 +67,15 @@
     zone: str = "a",
     rate: float = 1.0,
 ) -> api.Entry:
-    """One endpoint on the list."""
+    """An endpoint on the list; ``rate`` is its rate hint in calls a second."""
     return api.Entry(host, dest, zone, kind, listing, rate)
 
 
-def roster(*entries: api.Entry, kind: api.RosterKind = api.RosterKind.WHOLE) -> api.Roster:
-    """News of the list."""
-    return api.Roster(kind, entries)
+def endpoint_update(
+    *entries: api.Entry, kind: api.EndpointUpdateKind = api.EndpointUpdateKind.WHOLE
+) -> api.EndpointUpdate:
+    """An update of the endpoint list, by default a whole list."""
+    return api.EndpointUpdate(kind, entries)
 
 
 def arrival(
@@ -77,7 +86,7 @@
     key: str = "",
     tenant: str = "",
 ) -> api.Arrival:
-    """A message handed in with all of its time left unless said otherwise."""
+    """A message handed in, by default with the whole time of its class left."""
     return api.Arrival(name, dest, cls.name, cls.deadline_us if left_us is None else left_us, tenant, key)
 
 
@@ -88,10 +97,10 @@
     took_us: int = 100_000,
     wait_us: int = 0,
 ) -> api.Outcome:
-    """The outcome of a send; a success concludes its message."""
+    """The outcome of a send; a success completes its message."""
     return api.Outcome(send.id, attempt, send.host, verdict, took_us, verdict is api.Verdict.OK, wait_us)
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """The sends among actions."""
+    """The ``Send`` actions among others."""
     return [action for action in actions if isinstance(action, api.Send)]
